--- a/crates/jackdawpier_bench/src/scale.rs
+++ b/crates/jackdawpier_bench/src/scale.rs
@@ -357,11 +357,11 @@
             .collect();
         let (mut view, bytes) = with_memory(|| {
             let mut view = View::default();
-            changes.iter().for_each(|change| view.apply(change));
+            changes.iter().for_each(|change| view.apply_change(change));
             view
         });
         memory.push((f64::from(entries), bytes));
-        let time = mean_time(5_000, |ix| view.apply(&changes[(ix % entries) as usize]));
+        let time = mean_time(5_000, |ix| view.apply_change(&changes[(ix % entries) as usize]));
         apply.push((f64::from(entries), time * 1e6));
         let sent: usize =
             changes.iter().map(|c| serde_json::to_string(c).map_or(0, |t| t.len())).sum();
--- a/crates/jackdawpier_coord/src/cell.rs
+++ b/crates/jackdawpier_coord/src/cell.rs
@@ -44,7 +44,7 @@
 const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
 /// Subject of one entry of the map.
-pub type Subject = Arc<str>;
+pub type StateKey = Arc<str>;
 
 /// One segment, as stored.
 #[derive(Debug, Clone, Serialize, Deserialize)]
@@ -56,12 +56,12 @@
     /// Ownership change that the writer belongs to.
     epoch: Epoch,
     /// The states, in order; JSON text each.
-    entries: Vec<(Subject, Arc<str>)>,
+    entries: Vec<(StateKey, Arc<str>)>,
 }
 
 /// Whether a segment can hold `state` of `subject`. One that it can't hold would be written again for
 /// ever and keep all others waiting, so whoever takes a state in asks first.
-pub fn fits<S: Serialize>(subject: &str, state: &S) -> bool {
+pub fn fits_in_segment<S: Serialize>(subject: &str, state: &S) -> bool {
     entry_bytes(subject, &text_of(state)) <= MAX_ENTRY_BYTES
 }
 
@@ -94,7 +94,7 @@
         /// Epoch of this ownership.
         epoch: Epoch,
         /// The states by subject.
-        states: Vec<(Subject, S)>,
+        states: Vec<(StateKey, S)>,
     },
     /// The state of each subject is durable up to the write with this number.
     Committed {
@@ -139,11 +139,11 @@
     phase: Phase,
     epoch: Epoch,
     next_number: u64,
-    states: HashMap<Subject, (u64, Arc<str>)>,
-    segments: BTreeMap<u64, Vec<Subject>>,
+    states: HashMap<StateKey, (u64, Arc<str>)>,
+    segments: BTreeMap<u64, Vec<StateKey>>,
     takeovers: BTreeSet<u64>,
     entry_count: usize,
-    pending: VecDeque<(Subject, Arc<str>)>,
+    pending: VecDeque<(StateKey, Arc<str>)>,
     writes: u64,
     commit: Option<Commit>,
     flight: Flight,
@@ -218,7 +218,7 @@
 
     /// Accepts a new state of `subject` and returns the number of this write, to be compared with
     /// [`Output::Committed`]. Returns `None` when the cell isn't open.
-    pub fn put(&mut self, subject: Subject, state: &S) -> Option<u64> {
+    pub fn put(&mut self, subject: StateKey, state: &S) -> Option<u64> {
         if self.phase != Phase::Open {
             return None;
         }
@@ -271,13 +271,13 @@
 
     fn on_page(&mut self, now: Now, result: StoreResult) -> Vec<Output<S>> {
         if matches!(result, Err(StoreError::Ambiguous { .. })) {
-            self.page_size.lost();
+            self.page_size.on_page_lost();
         }
         let Ok(Response::Records { records, more, .. }) = result else {
             self.retry_at = now + RETRY_INTERVAL;
             return Vec::new();
         };
-        self.page_size.arrived();
+        self.page_size.on_page_received();
         records.iter().for_each(|record| self.replay(record));
         if !more {
             self.start_claim();
@@ -293,7 +293,7 @@
         self.adopt(number, segment.entries);
     }
 
-    fn adopt(&mut self, number: u64, entries: Vec<(Subject, Arc<str>)>) {
+    fn adopt(&mut self, number: u64, entries: Vec<(StateKey, Arc<str>)>) {
         if entries.is_empty() {
             self.takeovers.insert(number);
             return;
@@ -312,7 +312,7 @@
         self.commit = Some(self.new_commit(Vec::new()));
     }
 
-    fn new_commit(&self, entries: Vec<(Subject, Arc<str>)>) -> Commit {
+    fn new_commit(&self, entries: Vec<(StateKey, Arc<str>)>) -> Commit {
         let segment = Segment {
             writer: Arc::clone(&self.writer),
             incarnation: self.incarnation,
@@ -362,7 +362,7 @@
         }
     }
 
-    fn take_batch(&mut self) -> Vec<(Subject, Arc<str>)> {
+    fn take_batch(&mut self) -> Vec<(StateKey, Arc<str>)> {
         let mut bytes = 0;
         let mut batch = Vec::new();
         while let Some((subject, text)) = self.pending.front() {
@@ -417,8 +417,8 @@
         outputs
     }
 
-    fn parsed_states(&self) -> Vec<(Subject, S)> {
-        let mut states: Vec<(Subject, S)> = self
+    fn parsed_states(&self) -> Vec<(StateKey, S)> {
+        let mut states: Vec<(StateKey, S)> = self
             .states
             .iter()
             .filter_map(|(subject, (_, text))| {
@@ -455,7 +455,7 @@
             return Vec::new();
         }
         let Some((&number, subjects)) = self.segments.first_key_value() else { return Vec::new() };
-        let live: Vec<(Subject, Arc<str>)> = subjects
+        let live: Vec<(StateKey, Arc<str>)> = subjects
             .iter()
             .filter_map(|subject| {
                 let (at, text) = self.states.get(subject)?;
@@ -476,7 +476,7 @@
     }
 
     /// Writes live states of the oldest segment again, so that it can be deleted later.
-    fn carry_forward(&mut self, live: Vec<(Subject, Arc<str>)>) {
+    fn carry_forward(&mut self, live: Vec<(StateKey, Arc<str>)>) {
         for (subject, text) in live {
             if !self.pending.iter().any(|(waiting, _)| *waiting == subject) {
                 self.pending.push_back((subject, text));
--- a/crates/jackdawpier_coord/src/configuration.rs
+++ b/crates/jackdawpier_coord/src/configuration.rs
@@ -107,7 +107,7 @@
 
 /// This entry's standing as a member.
 #[derive(Debug, Clone)]
-pub struct Standing {
+pub struct MembershipStatus {
     /// This entry.
     pub entry: EntryId,
     /// Until when the entry can rely on being counted as a member; zero if it never was one.
@@ -141,7 +141,7 @@
     }
 
     /// Adopts `document` if it is newer than what is in force; returns whether it was.
-    pub fn offer(&mut self, document: Document) -> bool {
+    pub fn adopt_if_newer(&mut self, document: Document) -> bool {
         let name = document.declaration.deployment.clone();
         let is_newer =
             self.documents.get(&name).is_none_or(|current| document.revision > current.revision);
@@ -152,15 +152,15 @@
     }
 
     /// Adopts a stored record if it is newer; unreadable ones are ignored, never adopted.
-    pub fn offer_record(&mut self, record: &Record) -> bool {
-        serde_json::from_str(&record.value).is_ok_and(|document| self.offer(document))
+    pub fn adopt_record_if_newer(&mut self, record: &Record) -> bool {
+        serde_json::from_str(&record.value).is_ok_and(|document| self.adopt_if_newer(document))
     }
 
     /// Notes an answer of the store, after the documents were read at least once, and the members
     /// that the view has by then. Both belong together: an entry that had the answer but not yet the
     /// members took itself for the only one, said that it was ready, and refused the next request.
-    pub fn heard_store(&mut self, now: Now, view: &View) {
-        self.note_members(now, view);
+    pub fn on_store_answer(&mut self, now: Now, view: &View) {
+        self.record_members(now, view);
         self.first_store_at.get_or_insert(now);
         self.heard_store_at = Some(now);
     }
@@ -171,7 +171,7 @@
     }
 
     /// Notes a heartbeat of a peer, after its documents were offered.
-    pub fn heard_peer(&mut self, now: Now, report: PeerReport) {
+    pub fn on_peer_report(&mut self, now: Now, report: PeerReport) {
         let contact = Contact {
             heard_at: now,
             store_at: report.store_age.map(|age| now.saturating_sub(age)),
@@ -183,7 +183,7 @@
     }
 
     /// Notes who is a member, as the view has it; forgets whom nobody has seen for long.
-    pub fn note_members(&mut self, now: Now, view: &View) {
+    pub fn record_members(&mut self, now: Now, view: &View) {
         for member in view.members() {
             self.known.insert(member.entry.clone(), now);
         }
@@ -210,7 +210,7 @@
     /// members must be heard and none of them may have heard the store since the lease ended.
     /// A store outage therefore stops nobody, while an entry that alone is cut off from the store
     /// stops before its lease lapses there.
-    pub fn is_ready(&mut self, now: Now, standing: &Standing) -> bool {
+    pub fn is_ready(&mut self, now: Now, standing: &MembershipStatus) -> bool {
         if !self.is_loaded {
             let from_peer = self.fresh_contacts(now).any(|(_, c)| c.is_ready && self.has_all(c));
             let from_store = self.first_store_at.is_some_and(|at| {
@@ -224,7 +224,7 @@
 
     /// Whether it is the store that is out, as far as can be told, and not this entry. An answer that
     /// came here without a lease says that the store is up and the lease will follow.
-    fn is_store_outage(&self, now: Now, standing: &Standing) -> bool {
+    fn is_store_outage(&self, now: Now, standing: &MembershipStatus) -> bool {
         let heard = self.fresh_contacts(now).count();
         let has_majority = self.is_majority(heard + 1, &standing.entry);
         let since = standing.member_until;
@@ -237,7 +237,7 @@
 
     /// Whether everything that a peer has in force is in force here.
     fn has_all(&self, contact: &Contact) -> bool {
-        !self.lacks(&contact.in_force)
+        !self.is_behind(&contact.in_force)
     }
 
     /// Entries that have not reported `revision` of `deployment` yet: members with a live lease,
@@ -246,7 +246,7 @@
     /// `None` while nothing can be told: the view is older than the revision, or most of the
     /// entries that may live are out of sight. Entries that serve without a lease are a majority,
     /// so they can't be overlooked by another one.
-    pub fn lagging(
+    pub fn lagging_entries(
         &self,
         now: Now,
         view: &View,
@@ -299,7 +299,7 @@
     }
 
     /// Whether a peer has a newer document than is in force here.
-    pub fn lacks(&self, theirs: &BTreeMap<String, Revision>) -> bool {
+    pub fn is_behind(&self, theirs: &BTreeMap<String, Revision>) -> bool {
         theirs.iter().any(|(name, revision)| {
             self.documents.get(name).is_none_or(|own| own.revision < *revision)
         })
@@ -335,7 +335,7 @@
     }
 
     /// Returns the write that puts a newer document back over a store that was rolled back.
-    pub fn repair(&self, record: &Record) -> Option<Request> {
+    pub fn rollback_repair(&self, record: &Record) -> Option<Request> {
         let stored: Document = serde_json::from_str(&record.value).ok()?;
         let current = self.document(&stored.declaration.deployment)?;
         (stored.revision < current.revision).then(|| Request::Put {
--- a/crates/jackdawpier_coord/src/membership.rs
+++ b/crates/jackdawpier_coord/src/membership.rs
@@ -15,7 +15,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::{
-    configuration::{Document, Standing},
+    configuration::{Document, MembershipStatus},
     keys,
 };
 
@@ -102,22 +102,22 @@
     /// It counts as a member again only once the view includes its own record: whoever reports a
     /// revision as in force from then on has to wait for this entry, and whatever was in force
     /// before has been read.
-    pub fn standing(&mut self, view: &View) -> Standing {
+    pub fn status(&mut self, view: &View) -> MembershipStatus {
         let has_seen_own = |revision| view.store_revision >= revision;
         self.is_member |= self.published_revision.is_some_and(has_seen_own);
         if self.is_member && self.lease.is_some() {
             self.member_until = self.trusted_until;
         }
-        Standing { entry: self.own.entry.clone(), member_until: self.member_until }
+        MembershipStatus { entry: self.own.entry.clone(), member_until: self.member_until }
     }
 
     /// What this entry tells the others.
-    pub fn own(&self) -> &Member {
+    pub fn own_member(&self) -> &Member {
         &self.own
     }
 
     /// Changes what this entry tells the others; the record follows with the next tick.
-    pub fn update(&mut self, change: impl FnOnce(&mut Member)) {
+    pub fn update_own_member(&mut self, change: impl FnOnce(&mut Member)) {
         let before = self.own.clone();
         change(&mut self.own);
         if self.own != before {
@@ -268,7 +268,7 @@
     }
 
     /// Takes one change that a watch reported.
-    pub fn apply(&mut self, change: &Change) {
+    pub fn apply_change(&mut self, change: &Change) {
         match change {
             Change::Put(record) => self.apply_record(record),
             Change::Delete { key, revision } => {
--- a/crates/jackdawpier_coord/src/ownership.rs
+++ b/crates/jackdawpier_coord/src/ownership.rs
@@ -41,7 +41,7 @@
         /// The shard.
         shard: String,
     },
-    /// Stop working on the shard, settle its cell and call [`Ownership::released`].
+    /// Stop working on the shard, settle its cell and call [`Ownership::on_cell_settled`].
     Release {
         /// The shard.
         shard: String,
@@ -102,7 +102,7 @@
     }
 
     /// Shards that are being given up and whose cells may not be settled yet.
-    pub fn releasing(&self) -> Vec<String> {
+    pub fn releasing_shards(&self) -> Vec<String> {
         let is_releasing = |held: &&Shard| held.phase == Phase::Releasing;
         self.held
             .iter()
@@ -122,23 +122,23 @@
     }
 
     /// Drops a shard whose cell reported that another owner has taken over.
-    pub fn fenced(&mut self, shard: &str) {
+    pub fn on_fenced(&mut self, shard: &str) {
         self.held.remove(shard);
     }
 
     /// Whether every record of this entry stands under `lease`, the one that can be relied on. If
-    /// not, they lapse with an earlier one, and [`Ownership::lose_all`] has to be called.
-    pub fn stands_under(&self, lease: Option<LeaseId>) -> bool {
+    /// not, they lapse with an earlier one, and [`Ownership::drop_all`] has to be called.
+    pub fn is_backed_by(&self, lease: Option<LeaseId>) -> bool {
         self.held.is_empty() || lease.is_some() && self.lease == lease
     }
 
     /// Drops every shard, when the member lease was lost.
-    pub fn lose_all(&mut self) -> Vec<String> {
+    pub fn drop_all(&mut self) -> Vec<String> {
         std::mem::take(&mut self.held).into_keys().collect()
     }
 
     /// Says that a released shard's cell is settled, so that its record can go.
-    pub fn released(&mut self, shard: &str) {
+    pub fn on_cell_settled(&mut self, shard: &str) {
         if let Some(held) = self.held.get_mut(shard) {
             held.phase = Phase::Deleting;
         }
--- a/crates/jackdawpier_coord/src/page_size.rs
+++ b/crates/jackdawpier_coord/src/page_size.rs
@@ -20,12 +20,12 @@
     }
 
     /// Notes that a page arrived, so that a little more may be asked for.
-    pub fn arrived(&mut self) {
+    pub fn on_page_received(&mut self) {
         self.records = (self.records + 1).min(self.most);
     }
 
     /// Notes that a page was lost; returns whether less can be asked for.
-    pub fn lost(&mut self) -> bool {
+    pub fn on_page_lost(&mut self) -> bool {
         let can_shrink = self.records > 1;
         self.records = (self.records / 2).max(1);
         can_shrink
--- a/crates/jackdawpier_coord/tests/readiness.rs
+++ b/crates/jackdawpier_coord/tests/readiness.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use jackdawpier_coord::{
-    configuration::{Configuration, Document, Standing, WriterId},
+    configuration::{Configuration, Document, MembershipStatus, WriterId},
     keys,
     membership::{Member, View},
 };
@@ -39,13 +39,13 @@
         ceilings: CeilingOptions::default(),
     };
     let writer = WriterId { entry: "a".into(), incarnation: 1, sequence: 1 };
-    configuration.offer(Document { revision: 1, writer, declaration });
-    configuration.heard_store(STARTED_AT, &view);
+    configuration.adopt_if_newer(Document { revision: 1, writer, declaration });
+    configuration.on_store_answer(STARTED_AT, &view);
     configuration
 }
 
-fn standing(member_until: Now) -> Standing {
-    Standing { entry: "b".into(), member_until }
+fn standing(member_until: Now) -> MembershipStatus {
+    MembershipStatus { entry: "b".into(), member_until }
 }
 
 /// The store names a member that nobody has heard: its word may be newer than the store's, so its
--- a/crates/jackdawpier_proofs/tests/untrusted.rs
+++ b/crates/jackdawpier_proofs/tests/untrusted.rs
@@ -63,7 +63,7 @@
     let mut configuration = Configuration::new(Duration::from_secs(2));
     for prefix in ["coord/members/", "coord/shards/", "coord/config/", ""] {
         view.apply_record(&record(prefix));
-        if configuration.offer_record(&record(prefix)) {
+        if configuration.adopt_record_if_newer(&record(prefix)) {
             return false;
         }
     }
--- a/crates/jackdawpier_proofs/tests/world/changes.rs
+++ b/crates/jackdawpier_proofs/tests/world/changes.rs
@@ -55,7 +55,7 @@
                 if let Some(entry) = &mut self.entries[change.entry]
                     && entry.incarnation == change.incarnation
                 {
-                    entry.configuration.offer(document);
+                    entry.configuration.adopt_if_newer(document);
                 }
             }
             ApplyOutput::Done(_) => {}
--- a/crates/jackdawpier_proofs/tests/world/entry.rs
+++ b/crates/jackdawpier_proofs/tests/world/entry.rs
@@ -127,7 +127,7 @@
 
     pub(crate) fn is_ready(&mut self, now: Now) -> bool {
         let now = now + self.clock_ahead;
-        let standing = self.membership.standing(&self.view);
+        let standing = self.membership.status(&self.view);
         self.configuration.is_ready(now, &standing)
     }
 
@@ -141,7 +141,7 @@
         for document in documents {
             self.adopt(switches, document);
         }
-        self.configuration.heard_peer(now + self.clock_ahead, report);
+        self.configuration.on_peer_report(now + self.clock_ahead, report);
     }
 
     /// What a heartbeat says, with the documents in force.
@@ -162,7 +162,8 @@
         let is_ready = self.is_ready(now);
         let now = now + self.clock_ahead;
         let has_lease = self.membership.lease(now).is_some();
-        let lagging = self.configuration.lagging(now, &self.view, &self.name, DEPLOYMENT, revision);
+        let lagging =
+            self.configuration.lagging_entries(now, &self.view, &self.name, DEPLOYMENT, revision);
         if is_ready && has_lease && lagging.is_some_and(|all| all.is_empty()) {
             revision
         } else {
@@ -174,7 +175,7 @@
         if switches.adopts_older && document.revision < self.revision() {
             self.configuration = Configuration::new(ISOLATION_LIMIT);
         }
-        self.configuration.offer(document);
+        self.configuration.adopt_if_newer(document);
     }
 
     /// A caller's keyed request.
@@ -251,8 +252,8 @@
         let now = now + self.clock_ahead;
         self.step += 1;
         let revisions = self.configuration.revisions();
-        self.configuration.note_members(now, &self.view);
-        self.membership.update(|member| member.in_force = revisions);
+        self.configuration.record_members(now, &self.view);
+        self.membership.update_own_member(|member| member.in_force = revisions);
         if let Some(request) = self.membership.tick(now) {
             self.calls.push((Purpose::Membership, request));
         }
@@ -271,8 +272,8 @@
     }
 
     fn tick_ownership(&mut self, now: Now) {
-        if !self.ownership.stands_under(self.membership.lease(now)) {
-            self.ownership.lose_all();
+        if !self.ownership.is_backed_by(self.membership.lease(now)) {
+            self.ownership.drop_all();
             self.drop_owned(now);
         }
         if !self.is_view_loaded {
@@ -292,7 +293,7 @@
                 OwnershipOutput::Acquired { .. } => self.acquire(now),
                 OwnershipOutput::Release { shard } => {
                     self.drop_owned(now);
-                    self.ownership.released(&shard);
+                    self.ownership.on_cell_settled(&shard);
                 }
             }
         }
@@ -390,7 +391,7 @@
             Purpose::Membership => {
                 self.membership.on_result(now, &result);
                 if matches!(result, Ok(Response::Lease { .. })) && self.is_view_loaded {
-                    self.configuration.heard_store(now, &self.view);
+                    self.configuration.on_store_answer(now, &self.view);
                 }
             }
             Purpose::Ownership(shard) => {
@@ -420,13 +421,13 @@
                 if let Ok(document) = serde_json::from_str(&record.value) {
                     self.adopt(switches, document);
                 }
-                if let Some(repair) = self.configuration.repair(record) {
+                if let Some(repair) = self.configuration.rollback_repair(record) {
                     self.calls.push((Purpose::Repair, repair));
                 }
             }
         }
         self.is_view_loaded = true;
-        self.configuration.heard_store(now, &self.view);
+        self.configuration.on_store_answer(now, &self.view);
     }
 }
 
--- a/crates/jackdawpierd/src/control.rs
+++ b/crates/jackdawpierd/src/control.rs
@@ -62,7 +62,7 @@
 
     /// Deletes the owner record of each shard whose cell is settled.
     fn tick_releases(&mut self, entry: &Arc<Entry>) {
-        let releasing = entry.coordination().ownership.releasing();
+        let releasing = entry.coordination().ownership.releasing_shards();
         self.releasing_since.retain(|shard, _| releasing.contains(shard));
         for shard in releasing {
             let now = entry.now();
@@ -74,7 +74,7 @@
             };
             if is_settled || now >= since + RELEASE_LIMIT {
                 lose(entry, &shard);
-                entry.coordination().ownership.released(&shard);
+                entry.coordination().ownership.on_cell_settled(&shard);
             }
         }
     }
@@ -101,9 +101,9 @@
     let request = {
         let mut coordination = entry.coordination();
         let Coordination { membership, view, configuration, .. } = &mut *coordination;
-        configuration.note_members(now, view);
+        configuration.record_members(now, view);
         let in_force = configuration.revisions();
-        membership.update(|member| member.in_force = in_force);
+        membership.update_own_member(|member| member.in_force = in_force);
         membership.tick(now)
     };
     let Some(request) = request else { return };
@@ -115,7 +115,7 @@
         coordination.membership.on_result(now, &result);
         if matches!(result, Ok(Response::Lease { .. })) && coordination.is_view_loaded {
             let Coordination { view, configuration, .. } = &mut *coordination;
-            configuration.heard_store(now, view);
+            configuration.on_store_answer(now, view);
         }
     });
 }
@@ -125,10 +125,10 @@
     let lost = {
         let mut coordination = entry.coordination();
         let lease = coordination.membership.lease(entry.now());
-        if coordination.ownership.stands_under(lease) {
+        if coordination.ownership.is_backed_by(lease) {
             return;
         }
-        coordination.ownership.lose_all()
+        coordination.ownership.drop_all()
     };
     for shard in lost {
         log::warn!(event = "shard_lost", shard = shard.as_str(); "the member lease can't be relied on");
@@ -141,12 +141,12 @@
     for service in entry.services() {
         if service.is_fenced() {
             service.lose();
-            entry.coordination().ownership.fenced(&service.name);
+            entry.coordination().ownership.on_fenced(&service.name);
         }
     }
     if entry.capacity.is_fenced() {
         entry.capacity.lose();
-        entry.coordination().ownership.fenced(capacity::SHARD);
+        entry.coordination().ownership.on_fenced(capacity::SHARD);
     }
     let outputs = {
         let mut coordination = entry.coordination();
--- a/crates/jackdawpierd/src/entry.rs
+++ b/crates/jackdawpierd/src/entry.rs
@@ -142,7 +142,7 @@
         let now = self.now();
         let mut coordination = self.coordination();
         let Coordination { membership, view, configuration, .. } = &mut *coordination;
-        configuration.is_ready(now, &membership.standing(view))
+        configuration.is_ready(now, &membership.status(view))
     }
 
     /// An id for a request, unique over all entries and their restarts.
--- a/crates/jackdawpierd/src/heartbeats.rs
+++ b/crates/jackdawpierd/src/heartbeats.rs
@@ -68,7 +68,7 @@
     let answer = entry.endpoint.call(address, &request, HEARTBEAT_LIMIT).await;
     if let Ok(PeerAnswer::Heartbeat { heartbeat, newer }) = answer {
         take(entry, &heartbeat, newer);
-        if entry.coordination().configuration.lacks(&heartbeat.in_force) {
+        if entry.coordination().configuration.is_behind(&heartbeat.in_force) {
             fetch_documents(entry, address).await;
         }
     }
@@ -104,9 +104,9 @@
 /// Adopts documents that are newer than what is in force; returns whether one was.
 fn offer(entry: &Entry, documents: Vec<Document>) -> bool {
     let mut coordination = entry.coordination();
-    documents
-        .into_iter()
-        .fold(false, |is_changed, document| coordination.configuration.offer(document) | is_changed)
+    documents.into_iter().fold(false, |is_changed, document| {
+        coordination.configuration.adopt_if_newer(document) | is_changed
+    })
 }
 
 /// Learns from a heartbeat, in either direction.
@@ -124,7 +124,7 @@
             store_age: heartbeat.store_age,
             in_force: heartbeat.in_force.clone(),
         };
-        coordination.configuration.heard_peer(now, report);
+        coordination.configuration.on_peer_report(now, report);
     }
     if is_changed {
         refresh_services(entry);
--- a/crates/jackdawpierd/src/operators.rs
+++ b/crates/jackdawpierd/src/operators.rs
@@ -248,7 +248,7 @@
     log::info!(event = "apply"; "{outcome:?}");
     let status = match &outcome {
         ApplyOutcome::Accepted { .. } => {
-            entry.coordination().configuration.offer(apply.document().clone());
+            entry.coordination().configuration.adopt_if_newer(apply.document().clone());
             crate::heartbeats::refresh_services(entry);
             200
         }
--- a/crates/jackdawpierd/src/service_jobs.rs
+++ b/crates/jackdawpierd/src/service_jobs.rs
@@ -132,7 +132,7 @@
         let Some(entry) = self.entry.upgrade() else { return false };
         let coordination = entry.coordination();
         let lease = coordination.membership.lease(entry.now());
-        coordination.ownership.owns(&self.name) && coordination.ownership.stands_under(lease)
+        coordination.ownership.owns(&self.name) && coordination.ownership.is_backed_by(lease)
     }
 
     /// Jobs that need an operator, as (id, reason).
@@ -168,7 +168,7 @@
             state: JobState::Queued,
         };
         let state = CellState::Job(job.clone());
-        if !cell::fits(&job_subject(&id), &state) {
+        if !cell::fits_in_segment(&job_subject(&id), &state) {
             let _ = reply.send(not_run(RefusalReason::TooLarge, Duration::ZERO));
             return Vec::new();
         }
--- a/crates/jackdawpierd/src/status.rs
+++ b/crates/jackdawpierd/src/status.rs
@@ -88,7 +88,7 @@
         .documents()
         .map(|document| {
             let deployment = document.declaration.deployment.clone();
-            let lagging = coordination.configuration.lagging(
+            let lagging = coordination.configuration.lagging_entries(
                 now,
                 view,
                 entry.name(),
--- a/crates/jackdawpierd/src/stop.rs
+++ b/crates/jackdawpierd/src/stop.rs
@@ -25,7 +25,7 @@
     entry.is_stopping.store(true, Ordering::Relaxed);
     {
         let mut coordination = entry.coordination();
-        coordination.membership.update(|member| member.is_stopping = true);
+        coordination.membership.update_own_member(|member| member.is_stopping = true);
         coordination.ownership.stop();
     }
     tokio::time::sleep(entry.settings.timing.stop_notice).await;
--- a/crates/jackdawpierd/src/view_sync.rs
+++ b/crates/jackdawpierd/src/view_sync.rs
@@ -60,14 +60,14 @@
             limit: page_size.records(),
         };
         let response = match entry.call_store(request).await {
-            Err(error @ StoreError::Ambiguous { .. }) if page_size.lost() => {
+            Err(error @ StoreError::Ambiguous { .. }) if page_size.on_page_lost() => {
                 log::warn!(event = "store_page_lost"; "{error}");
                 tokio::time::sleep(RETRY_INTERVAL).await;
                 continue;
             }
             result => result?,
         };
-        page_size.arrived();
+        page_size.on_page_received();
         let Response::Records { records, more, store_revision } = response else {
             return Err(StoreError::unavailable("an answer of another kind"));
         };
@@ -89,16 +89,16 @@
         for record in records {
             coordination.view.apply_record(record);
             if record.key.starts_with(keys::CONFIGURATION) {
-                coordination.configuration.offer_record(record);
+                coordination.configuration.adopt_record_if_newer(record);
             }
         }
         coordination.is_view_loaded = true;
         let Coordination { view, configuration, .. } = &mut *coordination;
-        configuration.heard_store(now, view);
+        configuration.on_store_answer(now, view);
         records
             .iter()
             .filter(|record| record.key.starts_with(keys::CONFIGURATION))
-            .filter_map(|record| coordination.configuration.repair(record))
+            .filter_map(|record| coordination.configuration.rollback_repair(record))
             .collect::<Vec<_>>()
     };
     refresh_services(entry);
@@ -115,15 +115,15 @@
         let mut coordination = entry.coordination();
         let mut is_changed = false;
         for change in changes {
-            coordination.view.apply(change);
+            coordination.view.apply_change(change);
             if let Change::Put(record) = change
                 && record.key.starts_with(keys::CONFIGURATION)
             {
-                is_changed |= coordination.configuration.offer_record(record);
+                is_changed |= coordination.configuration.adopt_record_if_newer(record);
             }
         }
         let Coordination { view, configuration, .. } = &mut *coordination;
-        configuration.heard_store(now, view);
+        configuration.on_store_answer(now, view);
         is_changed
     };
     if is_changed {
