--- a/crates/jackdawpier_bench/src/owner.rs
+++ b/crates/jackdawpier_bench/src/owner.rs
@@ -10,7 +10,7 @@
 
 use jackdawpier_fleet::{
     executor::{EndKind, EndedTask, ExecutorInfo, HoldReport, RunningTask},
-    fleet::{Command, Fleet, FleetSettings, StartEnd},
+    fleet::{Command, Fleet, FleetSettings, StartOutcome},
     machines::{MachineInfo, MachineOrderEnd, MachineState},
     spec::{JobSpec, Queue, Resources, Service, StepSpec, Submission, TaskKey},
 };
@@ -135,7 +135,8 @@
             }
         }
         for id in due {
-            let Some(order) = self.timed("hold_order", |fleet| fleet.hold_order(now, &id)) else {
+            let Some(order) = self.timed("hold_order", |fleet| fleet.hold_directive(now, &id))
+            else {
                 continue;
             };
             let executor = self.executors.get_mut(&id).expect("it was listed above");
@@ -172,7 +173,7 @@
                     let running = Running { task: task.clone(), run, ends_at: now + takes };
                     self.executors.get_mut(&executor).expect("it lives").running.push(running);
                     self.timed("start_ended", |fleet| {
-                        fleet.start_ended(now, &executor, &task, run, StartEnd::Started, true);
+                        fleet.start_ended(now, &executor, &task, run, StartOutcome::Started, true);
                     });
                 }
                 // Pools stay as they are, so that a burst meets a full one.
@@ -196,7 +197,7 @@
             labels: info.labels.clone(),
         });
         let machines = machines.collect();
-        self.timed("list_machines", |fleet| fleet.list_machines(now, now, machines));
+        self.timed("list_machines", |fleet| fleet.update_machines(now, now, machines));
     }
 }
 
@@ -225,7 +226,7 @@
     FleetSettings {
         longest_lease: Duration::from_secs(10),
         lease: Duration::from_secs(5),
-        doubt: Duration::from_millis(7500),
+        takeover_uncertainty: Duration::from_millis(7500),
         stop_timeout: Duration::from_millis(200),
         maintenance: Duration::from_secs(2),
         remote_factor: 3.0,
--- a/crates/jackdawpier_entry/src/owner.rs
+++ b/crates/jackdawpier_entry/src/owner.rs
@@ -238,7 +238,9 @@
         lease,
         longest_lease: settings.longest_lease,
         // An owner that was cut off may have renewed until its own lease ended.
-        doubt: ownership::ttl(settings.shortest_ttl) + lease * 21 / 20 + Duration::from_millis(300),
+        takeover_uncertainty: ownership::ttl(settings.shortest_ttl)
+            + lease * 21 / 20
+            + Duration::from_millis(300),
         stop_timeout: settings.stop_timeout,
         maintenance: settings.maintenance,
         remote_factor: settings.remote_factor,
--- a/crates/jackdawpier_entry/src/owner/executors.rs
+++ b/crates/jackdawpier_entry/src/owner/executors.rs
@@ -3,7 +3,7 @@
 use std::{rc::Rc, sync::Arc, time::Duration};
 
 use jackdawpier_fleet::{
-    fleet::{Command, StartEnd, StopEnd, StopReason, StopSigns},
+    fleet::{Command, StartOutcome, StopEvidence, StopOutcome, StopReason},
     spec::{RunNumber, TaskKey},
 };
 use jackdawpier_kernel::ids::ExecutorId;
@@ -100,7 +100,7 @@
     async fn follow(self: Rc<Self>, id: ExecutorId) {
         let mut is_heard = false;
         while self.is_valid() {
-            let order = self.fleet.borrow_mut().hold_order(clock::now(), &id);
+            let order = self.fleet.borrow_mut().hold_directive(clock::now(), &id);
             let Some(order) = order else { break };
             let Some(target) = self.target(&id) else {
                 tokio::time::sleep(HOLD_PAUSE).await;
@@ -167,7 +167,8 @@
         let session = self.session(id);
         loop {
             // Taking the order looks at what is durable by now.
-            if self.fleet.borrow_mut().hold_order(clock::now(), id).is_none_or(|it| it.may_wait) {
+            if self.fleet.borrow_mut().hold_directive(clock::now(), id).is_none_or(|it| it.may_wait)
+            {
                 return;
             }
             if !self.fleet.borrow().has_unacknowledged(id) {
@@ -229,20 +230,21 @@
         let _permit = session.starts.acquire().await.expect("it is never closed");
         let began_at = clock::now();
         let mut is_certain = true;
-        let mut end = StartEnd::Unanswered;
+        let mut end = StartOutcome::Unanswered;
         for _ in 0..START_TRIES {
-            let is_wanted = self.fleet.borrow().is_wanted(&start.executor, &start.task, start.run);
+            let is_wanted =
+                self.fleet.borrow().may_send_start(&start.executor, &start.task, start.run);
             if !self.is_valid() || !is_wanted {
                 return;
             }
             if self.fleet.borrow().is_avoided(clock::now(), &start.executor) {
                 // It has just failed to answer another order.
-                end = if is_certain { StartEnd::Withheld } else { StartEnd::Unanswered };
+                end = if is_certain { StartOutcome::Withheld } else { StartOutcome::Unanswered };
                 break;
             }
             let lease = self.fleet.borrow_mut().order_lease(clock::now(), &start.executor);
             let (Some(target), Some(lease_until)) = (self.target(&start.executor), lease) else {
-                end = StartEnd::Unavailable;
+                end = StartOutcome::Unavailable;
                 break;
             };
             let order = StartOrder {
@@ -254,7 +256,7 @@
                 ticket: start.ticket.clone(),
             };
             end = self.platform.start(&target, &order).await;
-            if end != StartEnd::Unanswered {
+            if end != StartOutcome::Unanswered {
                 break;
             }
             is_certain = false;
@@ -275,7 +277,7 @@
             is_certain,
         );
         self.pump();
-        if end != StartEnd::Started {
+        if end != StartOutcome::Started {
             self.changed.notify_one();
         }
     }
@@ -289,21 +291,21 @@
     ) {
         let session = self.session(&executor);
         let _permit = session.stops.acquire().await.expect("it is never closed");
-        let mut end = StopEnd::NotTaken;
+        let mut end = StopOutcome::NotTaken;
         for _ in 0..STOP_TRIES {
             if !self.is_valid() {
                 return;
             }
-            let may_leave = self.fleet.borrow().may_stop(clock::now(), &executor, &task, run);
+            let may_leave = self.fleet.borrow().may_send_stop(clock::now(), &executor, &task, run);
             let Some(target) = self.target(&executor).filter(|_| may_leave) else { break };
-            let signs = self.fleet.borrow().stop_signs(clock::now(), &task, run);
+            let signs = self.fleet.borrow().stop_evidence(clock::now(), &task, run);
             end = self.platform.stop(&target, &task, run).await;
             let mut fields = json!({ "executor": *executor, "task": task.to_string(), "run": run, "why": format!("{reason:?}"), "end": format!("{end:?}") });
             if let Some(signs) = signs {
                 add_signs(&mut fields, signs);
             }
             self.events.emit("task_stopped", fields);
-            if end == StopEnd::Taken {
+            if end == StopOutcome::Taken {
                 break;
             }
         }
@@ -316,7 +318,7 @@
                 let fields =
                     json!({ "task": task.to_string(), "approved": approval.approved.len() });
                 self.events.emit("advice", fields);
-                self.fleet.borrow_mut().advised(
+                self.fleet.borrow_mut().advice_received(
                     clock::now(),
                     &task,
                     approval.approved,
@@ -333,7 +335,7 @@
 }
 
 /// Says what was known of a run of a long-running step when the order to stop it left.
-fn add_signs(fields: &mut serde_json::Value, signs: StopSigns) {
+fn add_signs(fields: &mut serde_json::Value, signs: StopEvidence) {
     fields["listed_ago_ms"] = json!(signs.listed_ago.map(|ago| ago.as_millis()));
     fields["percent"] = json!(signs.percent);
     fields["others_away"] = json!(signs.others_away);
--- a/crates/jackdawpier_entry/src/owner/explain.rs
+++ b/crates/jackdawpier_entry/src/owner/explain.rs
@@ -5,7 +5,9 @@
 
 use std::{rc::Rc, time::Duration};
 
-use jackdawpier_fleet::fleet::{Blame, GivenUp, Loss, LostRun, Obstacles, Pause, Shortage, Wait};
+use jackdawpier_fleet::fleet::{
+    Blame, GivenUp, Loss, LostRun, Obstacles, Pause, Shortage, WaitingTask,
+};
 use serde_json::{Value, json};
 
 use super::Owner;
@@ -26,7 +28,7 @@
             tokio::time::sleep(INTERVAL).await;
             let now = clock::now();
             let fleet = self.fleet.borrow();
-            for wait in fleet.long_waits(now, LONG_WAIT, LINES_AT_ONCE) {
+            for wait in fleet.longest_waiting_tasks(now, LONG_WAIT, LINES_AT_ONCE) {
                 self.events.emit("task_waits", explained(&wait));
             }
             for shortage in fleet.shortages().iter().take(LINES_AT_ONCE) {
@@ -58,7 +60,7 @@
 }
 
 /// Executors of the task's service by obstacle.
-fn explained(wait: &Wait) -> Value {
+fn explained(wait: &WaitingTask) -> Value {
     let Obstacles { open, leaving, silent, left_out, watched, vacating, unsuited, full } =
         wait.obstacles;
     json!({
--- a/crates/jackdawpier_entry/src/owner/machines.rs
+++ b/crates/jackdawpier_entry/src/owner/machines.rs
@@ -35,7 +35,7 @@
             match self.platform.machines().await {
                 Ok(machines) if self.is_valid() => {
                     pause = list_pause(machines.len(), self.settings.link_mbps);
-                    self.fleet.borrow_mut().list_machines(clock::now(), asked_at, machines);
+                    self.fleet.borrow_mut().update_machines(clock::now(), asked_at, machines);
                 }
                 Ok(_) => {}
                 Err(error) => {
@@ -89,7 +89,8 @@
     /// asked again whether the order may leave.
     pub(super) async fn order_machine(self: Rc<Self>, order: MachineOrder) {
         let is_noted = self.note_order(&order.machine).await;
-        let may_leave = is_noted && self.fleet.borrow().may_order(clock::now(), &order);
+        let may_leave =
+            is_noted && self.fleet.borrow().may_send_machine_order(clock::now(), &order);
         let end = if may_leave {
             self.platform.order(&order, &self.settings.entry, self.term.fence).await
         } else {
@@ -114,7 +115,7 @@
             puts: vec![(key, value, None), (keys::wave(state.number), maintained, None)],
             removes: Vec::new(),
         };
-        while self.is_valid() && self.fleet.borrow().is_current(&state) {
+        while self.is_valid() && self.fleet.borrow().is_current_wave_state(&state) {
             if self.platform.commit(&transaction).await.is_ok() {
                 let fields = json!({ "wave": state.number, "completed": state.is_completed, "maintained": state.maintained.len() });
                 self.events.emit("wave", fields);
--- a/crates/jackdawpier_entry/src/ports.rs
+++ b/crates/jackdawpier_entry/src/ports.rs
@@ -9,7 +9,7 @@
 use jackdawpier_fleet::{
     account::Account,
     executor::{ExecutorInfo, HoldReport},
-    fleet::{JobView, StartEnd, StopEnd},
+    fleet::{JobView, StartOutcome, StopOutcome},
     machines::{MachineInfo, MachineOrder, MachineOrderEnd, Wave, WaveState},
     spec::{JobSpec, Queue, RunNumber, Service, TaskKey},
 };
@@ -177,14 +177,15 @@
 /// Control of executors.
 pub trait ExecutorControl {
     /// Starts a task.
-    fn start(&self, target: &OrderTarget, order: &StartOrder) -> impl Future<Output = StartEnd>;
+    fn start(&self, target: &OrderTarget, order: &StartOrder)
+    -> impl Future<Output = StartOutcome>;
     /// Stops a task.
     fn stop(
         &self,
         target: &OrderTarget,
         task: &TaskKey,
         run: RunNumber,
-    ) -> impl Future<Output = StopEnd>;
+    ) -> impl Future<Output = StopOutcome>;
     /// Sets the pace of a task and returns whether it was taken.
     fn pace(
         &self,
--- a/crates/jackdawpier_entry/tests/support/fake/outside.rs
+++ b/crates/jackdawpier_entry/tests/support/fake/outside.rs
@@ -12,7 +12,7 @@
 };
 use jackdawpier_fleet::{
     executor::{EndKind, EndedTask, ExecutorInfo, HoldReport},
-    fleet::{JobView, StartEnd, StopEnd},
+    fleet::{JobView, StartOutcome, StopOutcome},
     machines::{MachineInfo, MachineOrder, MachineOrderEnd, MachineState, Wave, WaveState},
     record::JobOutcome,
     spec::{JobSpec, Queue, Resources, RunNumber, Service, TaskKey},
@@ -22,7 +22,7 @@
 use super::{super::submission, CONFIGURATION, EXECUTOR, Fake, QUEUE, UNREADABLE, machine};
 
 impl ExecutorControl for Fake {
-    async fn start(&self, _target: &OrderTarget, order: &StartOrder) -> StartEnd {
+    async fn start(&self, _target: &OrderTarget, order: &StartOrder) -> StartOutcome {
         let mut state = self.0.borrow_mut();
         state.starts.push((order.task.clone(), order.run));
         let end = EndedTask {
@@ -33,11 +33,11 @@
             checkpoint: "".into(),
         };
         state.ended.push(end);
-        StartEnd::Started
+        StartOutcome::Started
     }
 
-    async fn stop(&self, _target: &OrderTarget, _task: &TaskKey, _run: RunNumber) -> StopEnd {
-        StopEnd::Taken
+    async fn stop(&self, _target: &OrderTarget, _task: &TaskKey, _run: RunNumber) -> StopOutcome {
+        StopOutcome::Taken
     }
 
     async fn pace(
--- a/crates/jackdawpier_fleet/src/fleet.rs
+++ b/crates/jackdawpier_fleet/src/fleet.rs
@@ -50,10 +50,10 @@
 pub use held_back::Pause;
 pub use losses::{Loss, LossEvidence, LostRun};
 pub use pools::Shortage;
-pub use reports::HoldOrder;
-pub use starts::StartEnd;
-pub use stops::{StopEnd, StopSigns};
-pub use waits::{Obstacles, Wait};
+pub use reports::HoldDirective;
+pub use starts::StartOutcome;
+pub use stops::{StopEvidence, StopOutcome};
+pub use waits::{Obstacles, WaitingTask};
 
 use clearing::Clearings;
 use crash_scenes::CrashScenes;
@@ -81,7 +81,7 @@
     /// The longest lease that executors accept.
     pub longest_lease: Duration,
     /// How long after a take-over an executor that never answered may still run something.
-    pub doubt: Duration,
+    pub takeover_uncertainty: Duration,
     /// An executor needs at most this long to stop a task.
     pub stop_timeout: Duration,
     /// How long a machine is away for maintenance.
@@ -273,7 +273,7 @@
     }
 
     /// Whether a start is still wanted, asked right before its order leaves.
-    pub fn is_wanted(&self, executor: &str, key: &TaskKey, run: RunNumber) -> bool {
+    pub fn may_send_start(&self, executor: &str, key: &TaskKey, run: RunNumber) -> bool {
         self.jobs.get(&key.job).is_some_and(|job| {
             let index = job.index(key);
             index.is_some_and(|index| {
--- a/crates/jackdawpier_fleet/src/fleet/executors.rs
+++ b/crates/jackdawpier_fleet/src/fleet/executors.rs
@@ -21,7 +21,7 @@
 impl Fleet {
     /// An executor is registered, for the first time or with another entry than before.
     pub fn register_executor(&mut self, now: Now, info: ExecutorInfo) {
-        let doubt_until = self.started_at + self.settings.doubt;
+        let doubt_until = self.started_at + self.settings.takeover_uncertainty;
         let id = info.id.clone();
         let executor =
             self.executors.get_or_insert_with(id.clone(), || Executor::new(now, doubt_until));
--- a/crates/jackdawpier_fleet/src/fleet/intake.rs
+++ b/crates/jackdawpier_fleet/src/fleet/intake.rs
@@ -123,15 +123,15 @@
     fn count_remains(&mut self, now: Now, wall_ms: u64, record: &JobRecord) {
         let (Some(account), Some(remains)) = (&record.account, record.remains) else { return };
         let age = Duration::from_millis(wall_ms.saturating_sub(remains.ended_ms));
-        if age < self.settings.doubt + CLOCK_DIFFERENCE {
-            let until = self.started_at.max(now) + self.settings.doubt;
+        if age < self.settings.takeover_uncertainty + CLOCK_DIFFERENCE {
+            let until = self.started_at.max(now) + self.settings.takeover_uncertainty;
             self.accounts.book_until(until, account, &remains.amount);
         }
     }
 
     /// Books the room of the tasks that an earlier owner placed.
     fn place_doubtful(&mut self, job: &Job) {
-        let doubt_until = self.started_at + self.settings.doubt;
+        let doubt_until = self.started_at + self.settings.takeover_uncertainty;
         for (index, task) in job.tasks.iter().enumerate() {
             let Some(id) = task.phase.executor() else { continue };
             let is_suspect = self.is_suspect(job, index);
--- a/crates/jackdawpier_fleet/src/fleet/maintenance.rs
+++ b/crates/jackdawpier_fleet/src/fleet/maintenance.rs
@@ -31,7 +31,7 @@
 impl Fleet {
     /// Takes in the whole list of machines, which the platform was asked for at `asked_at`. It
     /// names the executor that lives on each machine, so one that it doesn't name has ended.
-    pub fn list_machines(&mut self, now: Now, asked_at: Now, machines: Vec<MachineInfo>) {
+    pub fn update_machines(&mut self, now: Now, asked_at: Now, machines: Vec<MachineInfo>) {
         if machines.is_empty() {
             return;
         }
@@ -93,7 +93,7 @@
     }
 
     /// Whether this is still the newest state of its wave.
-    pub fn is_current(&self, state: &WaveState) -> bool {
+    pub fn is_current_wave_state(&self, state: &WaveState) -> bool {
         self.machines.waves.get(&state.number).is_some_and(|progress| progress.state() == *state)
     }
 
--- a/crates/jackdawpier_fleet/src/fleet/placement.rs
+++ b/crates/jackdawpier_fleet/src/fleet/placement.rs
@@ -312,7 +312,7 @@
     }
 
     /// The advisor has answered: the executors that may run the step, with their tickets.
-    pub fn advised(
+    pub fn advice_received(
         &mut self,
         now: Now,
         task: &crate::spec::TaskKey,
--- a/crates/jackdawpier_fleet/src/fleet/reports.rs
+++ b/crates/jackdawpier_fleet/src/fleet/reports.rs
@@ -5,7 +5,7 @@
 use jackdawpier_kernel::{Now, ids::ExecutorId};
 
 use super::{
-    Command, Fleet, FleetSettings, StopReason, lives::Life, runs::TaskEnd, stops::LATEST_STOP,
+    Command, Fleet, FleetSettings, StopReason, lives::Life, runs::TaskEnd, stops::MAX_STOP_DELAY,
 };
 use crate::{
     executor::{EndKind, EndedTask, HoldReport, LastSigns, MAX_ENDS_PER_REPORT, TaskRef},
@@ -16,7 +16,7 @@
 
 /// What to tell an executor in the next hold.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct HoldOrder {
+pub struct HoldDirective {
     /// Ends up to this position may be forgotten.
     pub acknowledged: u64,
     /// The lease by the executor's clock; none before its clock is known.
@@ -40,7 +40,7 @@
 
 impl Fleet {
     /// What the next hold has to say; none if the executor is forgotten or its life is over.
-    pub fn hold_order(&mut self, now: Now, id: &str) -> Option<HoldOrder> {
+    pub fn hold_directive(&mut self, now: Now, id: &str) -> Option<HoldDirective> {
         let lease = self.settings.lease;
         let jobs = &self.jobs;
         let executor = self.executors.get_mut(id).filter(|executor| !executor.is_over)?;
@@ -58,7 +58,7 @@
         let acknowledged = if is_sure { acknowledged } else { 0 };
         let lease_until = if is_sure { executor.grant_lease(now, lease) } else { None };
         let is_frozen = executor.is_frozen;
-        Some(HoldOrder { acknowledged, lease_until, may_wait, expects_end, is_frozen })
+        Some(HoldDirective { acknowledged, lease_until, may_wait, expects_end, is_frozen })
     }
 
     /// Whether ends of an executor wait to become durable.
@@ -245,7 +245,7 @@
             task.listed_at = Some(now);
             task.percent = running.percent;
             if may_go_on {
-                task.take_stop_back(now, LATEST_STOP);
+                task.take_stop_back(now, MAX_STOP_DELAY);
             }
             let is_kept = !matches!(task.phase, Phase::Stopping { .. });
             let is_at_work = running.percent >= 100 && is_kept;
--- a/crates/jackdawpier_fleet/src/fleet/starts.rs
+++ b/crates/jackdawpier_fleet/src/fleet/starts.rs
@@ -12,7 +12,7 @@
 
 /// How an order to start ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StartEnd {
+pub enum StartOutcome {
     /// The task runs.
     Started,
     /// Refused for want of room; nothing was done.
@@ -33,7 +33,7 @@
     Unanswered,
 }
 
-impl StartEnd {
+impl StartOutcome {
     /// Whether the executor that was meant has answered.
     fn is_answer(self) -> bool {
         match self {
@@ -61,7 +61,7 @@
         executor_id: &str,
         key: &TaskKey,
         run: RunNumber,
-        end: StartEnd,
+        end: StartOutcome,
         is_certain: bool,
     ) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
@@ -79,7 +79,7 @@
             executor.answered_at = now;
         }
         match end {
-            StartEnd::Started => {
+            StartOutcome::Started => {
                 let Phase::Starting { executor: at } = task.phase.clone() else { return };
                 task.phase = Phase::Running { executor: at, since: now };
                 task.confirmed_at = Some(now);
@@ -94,33 +94,33 @@
                 }
                 return;
             }
-            StartEnd::NoRoom => {
+            StartOutcome::NoRoom => {
                 if let Some(executor) = executor {
                     executor.avoid_until = now + AVOID_AFTER_REFUSAL;
                 }
             }
-            StartEnd::Unavailable | StartEnd::Unanswered => {
+            StartOutcome::Unavailable | StartOutcome::Unanswered => {
                 if let Some(executor) = executor {
                     executor.avoid_until = now + AVOID_AFTER_SILENCE;
                 }
             }
-            StartEnd::Invalid => task.not_before = now + PAUSE_AFTER_INVALID,
-            StartEnd::BadTicket => {
+            StartOutcome::Invalid => task.not_before = now + PAUSE_AFTER_INVALID,
+            StartOutcome::BadTicket => {
                 let slot = job.slot(index);
                 self.advice.remove(&(key.job.clone(), slot));
             }
-            StartEnd::RunIsOver | StartEnd::TooLate | StartEnd::Withheld => {}
+            StartOutcome::RunIsOver | StartOutcome::TooLate | StartOutcome::Withheld => {}
         }
         let gang = job.step(index).is_gang.then(|| job.slot(index));
         let lasts_alone = job.step(index).is_long_running && gang.is_none();
         let task = &mut job.tasks[index];
-        if end == StartEnd::Unanswered && (watched_for.is_some() || lasts_alone) {
+        if end == StartOutcome::Unanswered && (watched_for.is_some() || lasts_alone) {
             // The next report tells whether it began. A stop would spend a start of a suspect, and may come when the task has
             // been at work for long.
             task.unanswered_at = Some(now);
             return;
         }
-        if is_certain && !matches!(end, StartEnd::Unanswered | StartEnd::RunIsOver) {
+        if is_certain && !matches!(end, StartOutcome::Unanswered | StartOutcome::RunIsOver) {
             task.note_refused();
             self.run_over(now, &task_ref, None);
         } else {
--- a/crates/jackdawpier_fleet/src/fleet/stops.rs
+++ b/crates/jackdawpier_fleet/src/fleet/stops.rs
@@ -18,11 +18,11 @@
 /// to be at full speed.
 const UNLISTED_LATELY: Duration = Duration::from_millis(400);
 /// An order to stop that wasn't answered may be carried out this much later: longer than executors hang.
-pub(super) const LATEST_STOP: Duration = Duration::from_secs(12);
+pub(super) const MAX_STOP_DELAY: Duration = Duration::from_secs(12);
 
 /// How an order to stop ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum StopEnd {
+pub enum StopOutcome {
     /// The run can't begin there any more and ends within the time that executors have for it.
     Taken,
     /// Not taken; it is decided anew by the executor's next report.
@@ -31,7 +31,7 @@
 
 /// What is known of a run of a long-running step when an order to stop it leaves, for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct StopSigns {
+pub struct StopEvidence {
     /// How long ago its executor last listed it; none if it never did.
     pub listed_ago: Option<Duration>,
     /// Share of its full speed at that time, in percent.
@@ -44,7 +44,7 @@
 
 impl Fleet {
     /// Whether an order to stop a run may leave now, asked right before each try.
-    pub fn may_stop(&self, now: Now, executor: &str, key: &TaskKey, run: RunNumber) -> bool {
+    pub fn may_send_stop(&self, now: Now, executor: &str, key: &TaskKey, run: RunNumber) -> bool {
         let Some(job) = self.jobs.get(&key.job) else { return true };
         let Some(index) = job.index(key) else { return true };
         let task = &job.tasks[index];
@@ -76,7 +76,7 @@
     }
 
     /// An order to stop has ended.
-    pub fn stop_ended(&mut self, now: Now, key: &TaskKey, run: RunNumber, end: StopEnd) {
+    pub fn stop_ended(&mut self, now: Now, key: &TaskKey, run: RunNumber, end: StopOutcome) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let Some(index) = job.index(key) else { return };
         let task = &mut job.tasks[index];
@@ -86,8 +86,8 @@
         if let Phase::Stopping { order, .. } = &mut task.phase {
             *order = match (*order, end) {
                 (StopOrder::Taken { at }, _) => StopOrder::Taken { at },
-                (_, StopEnd::Taken) => StopOrder::Taken { at: now },
-                (_, StopEnd::NotTaken) => StopOrder::Unanswered,
+                (_, StopOutcome::Taken) => StopOrder::Taken { at: now },
+                (_, StopOutcome::NotTaken) => StopOrder::Unanswered,
             };
         }
     }
@@ -116,11 +116,11 @@
     }
 
     /// What is known of a run now; none if it isn't the present one of a task that lasts.
-    pub fn stop_signs(&self, now: Now, key: &TaskKey, run: RunNumber) -> Option<StopSigns> {
+    pub fn stop_evidence(&self, now: Now, key: &TaskKey, run: RunNumber) -> Option<StopEvidence> {
         let job = self.jobs.get(&key.job)?;
         let index = job.index(key).filter(|index| job.tasks[*index].run == run)?;
         let (task, step) = (&job.tasks[index], job.step(index));
-        step.is_long_running.then(|| StopSigns {
+        step.is_long_running.then(|| StopEvidence {
             listed_ago: task.listed_at.map(|at| now.saturating_sub(at)),
             percent: task.listed_at.map_or(0, |_| task.percent),
             others_away: self.others_away(now, job, index),
--- a/crates/jackdawpier_fleet/src/fleet/vacating.rs
+++ b/crates/jackdawpier_fleet/src/fleet/vacating.rs
@@ -163,7 +163,7 @@
     }
 
     /// Whether an order about a machine may leave now, asked right before: it may have been held up since it was chosen.
-    pub fn may_order(&self, now: Now, order: &MachineOrder) -> bool {
+    pub fn may_send_machine_order(&self, now: Now, order: &MachineOrder) -> bool {
         let errand = self.machines.errands.get(&order.machine);
         let is_wanted = errand.is_some_and(|errand| {
             let is_under_way = matches!(errand.stage, Stage::Ordered { is_under_way: true, .. });
--- a/crates/jackdawpier_fleet/src/fleet/waits.rs
+++ b/crates/jackdawpier_fleet/src/fleet/waits.rs
@@ -16,7 +16,7 @@
 
 /// A task that has been waiting for an executor.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Wait {
+pub struct WaitingTask {
     /// The task.
     pub task: TaskKey,
     /// How long it has been startable.
@@ -51,7 +51,12 @@
 impl Fleet {
     /// The tasks that have waited longest, one a job, of jobs that have nothing running and have waited
     /// for at least `longer_than`; at most `most`.
-    pub fn long_waits(&self, now: Now, longer_than: Duration, most: usize) -> Vec<Wait> {
+    pub fn longest_waiting_tasks(
+        &self,
+        now: Now,
+        longer_than: Duration,
+        most: usize,
+    ) -> Vec<WaitingTask> {
         let mut waiting: Vec<(Now, &Job, TaskIndex)> = self
             .open
             .values()
@@ -64,7 +69,7 @@
         let vacating: BTreeSet<&ExecutorId> = self.machines.vacating().collect();
         let shown = waiting.into_iter().take(most);
         shown
-            .map(|(since, job, index)| Wait {
+            .map(|(since, job, index)| WaitingTask {
                 task: job.key(index),
                 waited: now.saturating_sub(since),
                 is_capped: !self.is_within_cap(job, index),
--- a/crates/jackdawpier_fleet/tests/caps.rs
+++ b/crates/jackdawpier_fleet/tests/caps.rs
@@ -27,7 +27,7 @@
     world.run_for(Duration::from_millis(300));
     assert_eq!(world.used_by("shop").cpu_millicores, 16_000);
     assert_eq!(world.used_by("cafe").cpu_millicores, 16_000);
-    let waits = world.fleet.long_waits(world.now, Duration::ZERO, 5);
+    let waits = world.fleet.longest_waiting_tasks(world.now, Duration::ZERO, 5);
     assert!(waits.iter().all(|wait| wait.is_capped), "{waits:?}");
     for id in ["large", "other"] {
         assert!(world.run_until_over(id, Duration::from_secs(6)).is_some(), "{id} ends");
--- a/crates/jackdawpier_fleet/tests/histories.rs
+++ b/crates/jackdawpier_fleet/tests/histories.rs
@@ -138,7 +138,7 @@
         let at_work = world.at_work_of(id);
         let is_back = at_work + usize::from(is_cause) >= tasks;
         if !is_back && std::env::var("TRACE").is_ok() {
-            println!("{:?}", world.fleet.long_waits(world.now, Duration::ZERO, 9));
+            println!("{:?}", world.fleet.longest_waiting_tasks(world.now, Duration::ZERO, 9));
         }
         assert!(is_back || kind != Kind::Returning, "seed {seed}: {id}, {at_work} of {tasks}");
     }
@@ -288,7 +288,7 @@
     for id in &jobs {
         let is_over = world.run_until_over(id, Duration::from_secs(120)).is_some();
         if !is_over && std::env::var("TRACE").is_ok() {
-            println!("{:?}", world.fleet.long_waits(world.now, Duration::ZERO, 3));
+            println!("{:?}", world.fleet.longest_waiting_tasks(world.now, Duration::ZERO, 3));
         }
         assert!(is_over, "seed {seed}: {id} never ends, {:?}", world.fleet.view(id));
     }
--- a/crates/jackdawpier_fleet/tests/lost_executors.rs
+++ b/crates/jackdawpier_fleet/tests/lost_executors.rs
@@ -151,8 +151,8 @@
     let of = |world: &World, job: &str| world.executor_of(&world.machine_of_task(job));
     let (ends, lasts) = (of(&world, "ends"), of(&world, "lasts"));
     let now = world.now;
-    assert!(world.fleet.hold_order(now, &ends).is_some_and(|order| order.expects_end));
-    assert!(world.fleet.hold_order(now, &lasts).is_some_and(|order| !order.expects_end));
+    assert!(world.fleet.hold_directive(now, &ends).is_some_and(|order| order.expects_end));
+    assert!(world.fleet.hold_directive(now, &lasts).is_some_and(|order| !order.expects_end));
 }
 
 /// The list of machines no longer names an executor, which the registry does for seconds more: nobody
@@ -162,11 +162,11 @@
     let mut world = World::new(&["view"], 2);
     world.run_for(Duration::from_secs(2));
     let gone = world.executor_of("m-view-0");
-    assert!(world.fleet.hold_order(world.now, &gone).is_some());
+    assert!(world.fleet.hold_directive(world.now, &gone).is_some());
     world.fleet.executor_ended(world.now, &gone, LossEvidence::Unlisted);
-    assert!(world.fleet.hold_order(world.now, &gone).is_none());
+    assert!(world.fleet.hold_directive(world.now, &gone).is_none());
     let others = world.executor_of("m-view-1");
-    assert!(world.fleet.hold_order(world.now, &others).is_some());
+    assert!(world.fleet.hold_directive(world.now, &others).is_some());
 }
 
 /// Whoever looks for the task that took an executor along needs what ran there, and since when.
--- a/crates/jackdawpier_fleet/tests/repeated_stops.rs
+++ b/crates/jackdawpier_fleet/tests/repeated_stops.rs
@@ -131,11 +131,11 @@
 fn held_up_try() {
     let mut world = World::new(&["view"], 3);
     let (other, (executor, task, run)) = with_untaken_stop(&mut world);
-    assert!(world.fleet.may_stop(world.now, &executor, &task, run));
+    assert!(world.fleet.may_send_stop(world.now, &executor, &task, run));
     world.executors.get_mut(&executor).expect("it lives").cut(true);
     lose_unseen(&mut world, &other);
     world.run_for(Duration::from_secs(2));
-    assert!(!world.fleet.may_stop(world.now, &executor, &task, run), "one is away already");
+    assert!(!world.fleet.may_send_stop(world.now, &executor, &task, run), "one is away already");
 }
 
 /// A stop that was taken back is carried out after all, `late`; a machine with another task is asked for `asked_after` it was ordered.
--- a/crates/jackdawpier_fleet/tests/spared_tasks.rs
+++ b/crates/jackdawpier_fleet/tests/spared_tasks.rs
@@ -166,11 +166,11 @@
     world.machine_order_delay = Duration::from_secs(60);
     world.waves.push(wave(&[&busy[0]], 1));
     let order = world.run_until_ordered();
-    assert!(world.fleet.may_order(world.now, &order));
+    assert!(world.fleet.may_send_machine_order(world.now, &order));
     world.hides_machines = true;
     world.crash(&busy[1], None);
     world.run_for(Duration::from_secs(2));
-    assert!(!world.fleet.may_order(world.now, &order), "one is away already");
+    assert!(!world.fleet.may_send_machine_order(world.now, &order), "one is away already");
 }
 
 /// An order that wasn't answered may still be carried out, also after the refusal of the next one about that machine.
--- a/crates/jackdawpier_fleet/tests/world/executor.rs
+++ b/crates/jackdawpier_fleet/tests/world/executor.rs
@@ -4,7 +4,7 @@
 
 use jackdawpier_fleet::{
     executor::{EndKind, EndedTask, ExecutorInfo, HoldReport, RunningTask},
-    fleet::{HoldOrder, StartEnd, StopEnd},
+    fleet::{HoldDirective, StartOutcome, StopOutcome},
     spec::{JobSpec, Resources, TaskKey},
 };
 
@@ -223,26 +223,26 @@
         run: u32,
         spec: &JobSpec,
         lease: Duration,
-    ) -> StartEnd {
+    ) -> StartOutcome {
         if fence < self.fence {
-            return StartEnd::Unavailable;
+            return StartOutcome::Unavailable;
         }
         self.fence = fence;
         if self.running.get(task).is_some_and(|one| one.number == run) {
-            return StartEnd::Started;
+            return StartOutcome::Started;
         }
         if self.over.get(task).is_some_and(|over| *over >= run) {
-            return StartEnd::RunIsOver;
+            return StartOutcome::RunIsOver;
         }
         self.lease_until = self.lease_until.max(lease.min(self.clock(now) + super::LONGEST_LEASE));
         if lease <= self.clock(now) {
-            return StartEnd::TooLate;
+            return StartOutcome::TooLate;
         }
         let step = &spec.steps[task.step as usize];
         let need = step.booked();
         let fits = need.fits(&self.info.capacity.minus(&self.used()));
         if !fits && !self.is_unguarded {
-            return StartEnd::NoRoom;
+            return StartOutcome::NoRoom;
         }
         let former = self.former_room.filter(|(_, until)| now < *until);
         let may_fit = former.is_some_and(|(room, _)| need.fits(&room.minus(&self.used())));
@@ -256,12 +256,12 @@
         let run = Run { number: run, need, started_at: now, ends_at, is_far, stops_at: None };
         self.running.insert(task.clone(), run);
         self.starts.push((task.clone(), now));
-        StartEnd::Started
+        StartOutcome::Started
     }
 
-    pub fn stop(&mut self, now: Duration, fence: u64, task: &TaskKey, run: u32) -> StopEnd {
+    pub fn stop(&mut self, now: Duration, fence: u64, task: &TaskKey, run: u32) -> StopOutcome {
         if fence < self.fence {
-            return StopEnd::NotTaken;
+            return StopOutcome::NotTaken;
         }
         self.fence = fence;
         match self.running.get_mut(task) {
@@ -273,7 +273,7 @@
                 *over = (*over).max(run);
             }
         }
-        StopEnd::Taken
+        StopOutcome::Taken
     }
 
     pub fn pace(&mut self, task: &TaskKey, percent: u32) {
@@ -284,7 +284,7 @@
         self.paces.get(task).copied().unwrap_or(100)
     }
 
-    pub fn hold(&mut self, now: Duration, fence: u64, order: &HoldOrder) -> Option<HoldReport> {
+    pub fn hold(&mut self, now: Duration, fence: u64, order: &HoldDirective) -> Option<HoldReport> {
         if fence < self.fence {
             return None;
         }
--- a/crates/jackdawpier_fleet/tests/world/mod.rs
+++ b/crates/jackdawpier_fleet/tests/world/mod.rs
@@ -47,7 +47,7 @@
     FleetSettings {
         lease: Duration::from_secs(5),
         longest_lease: LONGEST_LEASE,
-        doubt: Duration::from_millis(7500),
+        takeover_uncertainty: Duration::from_millis(7500),
         stop_timeout: Duration::from_millis(200),
         maintenance: MAINTENANCE,
         remote_factor: 3.0,
@@ -409,7 +409,7 @@
         });
         let machines = machines.collect();
         if !self.hides_machines {
-            self.fleet.list_machines(now, now.saturating_sub(STEP), machines);
+            self.fleet.update_machines(now, now.saturating_sub(STEP), machines);
         }
         let waves = self.waves.iter().map(|wave| (wave.clone(), Duration::ZERO)).collect();
         self.fleet.set_waves(now, waves, true);
@@ -429,7 +429,7 @@
                 }
                 continue;
             }
-            let Some(order) = self.fleet.hold_order(now, &id) else { continue };
+            let Some(order) = self.fleet.hold_directive(now, &id) else { continue };
             let asked_at = now.saturating_sub(STEP);
             let Some(report) = executor.hold(now, self.fence, &order) else { continue };
             executor.hold_due = now + HOLD_WAIT;
--- a/crates/jackdawpier_fleet/tests/world/orders.rs
+++ b/crates/jackdawpier_fleet/tests/world/orders.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use jackdawpier_fleet::fleet::{Command, StartEnd, StopEnd};
+use jackdawpier_fleet::fleet::{Command, StartOutcome, StopOutcome};
 
 use super::{World, executor::FakeExecutor};
 
@@ -36,7 +36,7 @@
                     .map(|id| (id.clone(), format!("ticket-{id}").into()))
                     .collect();
                 self.advised += 1;
-                self.fleet.advised(self.now, task, approved, Duration::from_secs(3));
+                self.fleet.advice_received(self.now, task, approved, Duration::from_secs(3));
                 return;
             }
             Command::Start { .. } | Command::Stop { .. } | Command::Pace { .. } => {}
@@ -98,11 +98,11 @@
     fn report_unanswered(&mut self, command: &Command) {
         match command {
             Command::Start { executor, task, run, .. } => {
-                let end = StartEnd::Unanswered;
+                let end = StartOutcome::Unanswered;
                 self.fleet.start_ended(self.now, executor, task, *run, end, false);
             }
             Command::Stop { task, run, .. } => {
-                self.fleet.stop_ended(self.now, task, *run, StopEnd::NotTaken);
+                self.fleet.stop_ended(self.now, task, *run, StopOutcome::NotTaken);
             }
             _ => {}
         }
@@ -155,6 +155,6 @@
 }
 
 enum Executed {
-    Start(StartEnd),
-    Stop(StopEnd),
+    Start(StartOutcome),
+    Stop(StopOutcome),
 }
