--- a/crates/jackdawpier_bench/src/jobs.rs
+++ b/crates/jackdawpier_bench/src/jobs.rs
@@ -9,7 +9,7 @@
 use hdrhistogram::Histogram;
 use jackdawpier_jobs::{
     job::{Job, JobState},
-    queue::{Command, JobQueue, StartEnd},
+    queue::{Command, JobQueue, StartOutcome},
     workers::WorkerInfo,
 };
 use jackdawpier_kernel::{
@@ -290,8 +290,8 @@
             let message = entry.remove();
             let commands = match message {
                 Message::Started { job, report } => {
-                    let end = StartEnd::Reported(report.clone());
-                    self.queue.start_ended(self.now, &job, report.attempt, end)
+                    let end = StartOutcome::Reported(report.clone());
+                    self.queue.on_start_outcome(self.now, &job, report.attempt, end)
                 }
                 Message::Stopped { job } => self.stop_task(&job),
                 Message::Reports { worker } => {
@@ -339,16 +339,16 @@
             match command {
                 Command::Write(job) => {
                     self.writes += 1;
-                    self.queue.recording(self.writes, job.id);
+                    self.queue.on_write_queued(self.writes, job.id);
                 }
                 Command::Accepted(id) => {
                     self.accepted.insert(id);
                 }
                 Command::Start { worker, task } => self.start_task(worker, &task),
-                Command::Tell { command, .. } if command.action == TaskAction::Stop => {
+                Command::Send { command, .. } if command.action == TaskAction::Stop => {
                     self.send(WORKER_TIME, Message::Stopped { job: command.job });
                 }
-                Command::Tell { command, .. } => self.queue.renewed(self.now, &command.job),
+                Command::Send { command, .. } => self.queue.on_renewed(self.now, &command.job),
                 Command::Forget(id) => {
                     self.accepted.remove(&id);
                 }
@@ -384,7 +384,7 @@
             let _ = at;
             self.commit = None;
             self.durable = up_to;
-            let commands = self.queue.committed(self.now, up_to);
+            let commands = self.queue.on_committed(self.now, up_to);
             self.follow(commands);
         }
         let is_due = self.now >= self.last_commit_at + COMMIT_INTERVAL;
@@ -425,7 +425,7 @@
                 self.outcome.parked_wrong += 1;
             }
         }
-        self.outcome.quarantined = self.queue.blame().quarantined(self.now) as u64;
+        self.outcome.quarantined = self.queue.failures().quarantined_count(self.now) as u64;
         self.outcome
     }
 }
--- a/crates/jackdawpier_bench/src/scale.rs
+++ b/crates/jackdawpier_bench/src/scale.rs
@@ -427,9 +427,9 @@
         let started_at = Instant::now();
         for ix in 0..jobs {
             queue.submit(job(ix));
-            queue.recording(u64::from(ix), format!("job-{ix}").into());
+            queue.on_write_queued(u64::from(ix), format!("job-{ix}").into());
         }
-        black_box(queue.committed(Now::ZERO, u64::MAX));
+        black_box(queue.on_committed(Now::ZERO, u64::MAX));
         while queue.jobs().any(|job| job.state == JobState::Queued) {
             black_box(queue.tick(Now::ZERO));
         }
--- a/crates/jackdawpier_jobs/src/blame.rs
+++ b/crates/jackdawpier_jobs/src/failures.rs
@@ -44,7 +44,7 @@
 
 /// Failures of jobs and workers.
 #[derive(Debug, Default)]
-pub struct Blame {
+pub struct FailureTracker {
     workers: HashMap<WorkerId, WorkerRecord>,
     jobs: HashMap<JobId, Vec<Place>>,
 }
@@ -53,14 +53,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
     /// Try elsewhere.
-    TryElsewhere,
+    RetryElsewhere,
     /// The worker fails everything and is left out; try elsewhere.
     WorkerQuarantined,
     /// The job can never run.
     JobNeverRuns,
 }
 
-impl Blame {
+impl FailureTracker {
     /// Whether `worker` is left out at the moment.
     pub fn is_quarantined(&self, now: Now, worker: &str) -> bool {
         self.workers
@@ -70,30 +70,30 @@
     }
 
     /// Workers left out at the moment.
-    pub fn quarantined(&self, now: Now) -> usize {
+    pub fn quarantined_count(&self, now: Now) -> usize {
         self.workers.keys().filter(|worker| self.is_quarantined(now, worker)).count()
     }
 
     /// Workers on which `job` has failed, or which it lost; it is not placed there again while others are free.
-    pub fn failed_on(&self, job: &str) -> impl Iterator<Item = &WorkerId> {
+    pub fn failed_workers(&self, job: &str) -> impl Iterator<Item = &WorkerId> {
         self.jobs.get(job).into_iter().flatten().map(|place| &place.worker)
     }
 
     /// Notes that a job ran to its end.
-    pub fn succeeded(&mut self, job: &str, worker: &WorkerId) {
+    pub fn record_success(&mut self, job: &str, worker: &WorkerId) {
         self.jobs.remove(job);
         self.workers.remove(worker);
     }
 
     /// Forgets a job that is over.
-    pub fn forget(&mut self, job: &str) {
+    pub fn forget_job(&mut self, job: &str) {
         self.jobs.remove(job);
     }
 
     /// Notes that a worker fell silent while it ran a job, which may be why: one that crashes reports
     /// nothing. It doesn't count against the worker, which others may have taken along; nor, but for a bound
     /// on all losses, against a job that had been there for longer than one that `is_shared` tells of.
-    pub fn lost(
+    pub fn record_worker_loss(
         &mut self,
         now: Now,
         job: &JobId,
@@ -102,7 +102,7 @@
         is_shared: bool,
     ) -> Verdict {
         self.note_place(job, worker, rack, is_shared);
-        if self.never_runs(now, job) { Verdict::JobNeverRuns } else { Verdict::TryElsewhere }
+        if self.never_runs(now, job) { Verdict::JobNeverRuns } else { Verdict::RetryElsewhere }
     }
 
     fn note_place(&mut self, job: &JobId, worker: &WorkerId, rack: &RackName, is_shared: bool) {
@@ -114,7 +114,13 @@
     }
 
     /// Notes that a job failed on a worker.
-    pub fn failed(&mut self, now: Now, job: &JobId, worker: &WorkerId, rack: &RackName) -> Verdict {
+    pub fn record_failure(
+        &mut self,
+        now: Now,
+        job: &JobId,
+        worker: &WorkerId,
+        rack: &RackName,
+    ) -> Verdict {
         self.note_place(job, worker, rack, false);
         let record = self.workers.entry(worker.clone()).or_default();
         record.failed_in_a_row.insert(job.clone());
@@ -122,7 +128,7 @@
             self.quarantine(now, worker);
             return Verdict::WorkerQuarantined;
         }
-        if self.never_runs(now, job) { Verdict::JobNeverRuns } else { Verdict::TryElsewhere }
+        if self.never_runs(now, job) { Verdict::JobNeverRuns } else { Verdict::RetryElsewhere }
     }
 
     fn quarantine(&mut self, now: Now, worker: &WorkerId) {
--- a/crates/jackdawpier_jobs/src/lib.rs
+++ b/crates/jackdawpier_jobs/src/lib.rs
@@ -3,8 +3,8 @@
 //! A job is accepted only when durable, started only under a durable claim, and repeated only when
 //! that can do no harm. See `docs/design/jobs.md`.
 
-pub mod blame;
+pub mod failures;
 pub mod job;
-pub mod learning;
 pub mod queue;
+pub mod size_estimator;
 pub mod workers;
--- a/crates/jackdawpier_jobs/src/queue.rs
+++ b/crates/jackdawpier_jobs/src/queue.rs
@@ -17,20 +17,20 @@
 use jackdawpier_settings::declaration::Class;
 
 use crate::{
-    blame::Blame,
+    failures::FailureTracker,
     job::{Job, JobState},
-    learning::Learning,
+    size_estimator::SizeEstimator,
     workers::{WorkerInfo, Workers},
 };
 
 /// What the queue wants done.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
-    /// Make this state durable and call [`JobQueue::recording`] with the number of the write.
+    /// Make this state durable and call [`JobQueue::on_write_queued`] with the number of the write.
     Write(Job),
     /// The job is durable: tell its caller that it is accepted.
     Accepted(JobId),
-    /// Start this task and report by [`JobQueue::start_ended`].
+    /// Start this task and report by [`JobQueue::on_start_outcome`].
     Start {
         /// The worker.
         worker: WorkerId,
@@ -38,7 +38,7 @@
         task: StartTask,
     },
     /// Send this about a task.
-    Tell {
+    Send {
         /// The worker.
         worker: WorkerId,
         /// The command.
@@ -50,13 +50,13 @@
 
 /// How the attempt to start a task ended.
 #[derive(Debug, Clone, PartialEq)]
-pub enum StartEnd {
+pub enum StartOutcome {
     /// The worker answered.
     Reported(TaskReport),
     /// Nothing was sent.
     NotSent,
     /// No answer came; the task may run.
-    Lost,
+    Unanswered,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -96,7 +96,7 @@
     fn command(&self, action: TaskAction) -> Option<Command> {
         let worker = self.worker()?.clone();
         let command = TaskCommand { job: self.job.id.clone(), attempt: self.job.attempts, action };
-        Some(Command::Tell { worker, command })
+        Some(Command::Send { worker, command })
     }
 }
 
@@ -123,8 +123,8 @@
     by_worker: BTreeMap<WorkerId, BTreeSet<JobId>>,
     expiring: BTreeSet<(Now, JobId)>,
     workers: Workers,
-    learning: Learning,
-    blame: Blame,
+    size_estimator: SizeEstimator,
+    failures: FailureTracker,
 }
 
 impl JobQueue {
@@ -142,8 +142,8 @@
             by_worker: BTreeMap::new(),
             expiring: BTreeSet::new(),
             workers: Workers::default(),
-            learning: Learning::default(),
-            blame: Blame::default(),
+            size_estimator: SizeEstimator::default(),
+            failures: FailureTracker::default(),
         }
     }
 
@@ -185,8 +185,8 @@
     }
 
     /// Failures of jobs and workers, for reports.
-    pub fn blame(&self) -> &Blame {
-        &self.blame
+    pub fn failures(&self) -> &FailureTracker {
+        &self.failures
     }
 
     /// One job.
@@ -241,7 +241,7 @@
             }
             JobState::Claimed { worker } => {
                 let worker = worker.clone();
-                let reserved = self.learning.expected(&class, &customer, job.declared);
+                let reserved = self.size_estimator.estimate(&class, &customer, job.declared);
                 self.insert(job, Phase::Running);
                 self.workers.reserve(&worker, &reserved);
                 let live = self.jobs.get_mut(&id).expect("it was just inserted");
@@ -261,7 +261,7 @@
     }
 
     /// Says that durable write `number` carries the last state of `job`.
-    pub fn recording(&mut self, number: u64, job: JobId) {
+    pub fn on_write_queued(&mut self, number: u64, job: JobId) {
         if let Some(live) = self.jobs.get_mut(&job) {
             live.last_write = number;
         }
@@ -269,7 +269,7 @@
     }
 
     /// Goes on with the jobs whose last state is durable now.
-    pub fn committed(&mut self, now: Now, up_to: u64) -> Vec<Command> {
+    pub fn on_committed(&mut self, now: Now, up_to: u64) -> Vec<Command> {
         let count = self.uncommitted.iter().take_while(|(number, _)| *number <= up_to).count();
         let durable: Vec<(u64, JobId)> = self.uncommitted.drain(..count).collect();
         durable.iter().flat_map(|(number, id)| self.on_durable(now, *number, id)).collect()
@@ -346,7 +346,7 @@
         live.phase = Phase::Ending;
         live.job.state = state;
         if live.job.state.is_final() {
-            self.blame.forget(id);
+            self.failures.forget_job(id);
         }
         vec![Command::Write(self.jobs[id].job.clone())]
     }
@@ -395,7 +395,7 @@
     /// Carries an operator's decision on a parked job out: it waits again from now on, or is given
     /// up. Returns whether the job was parked; it is from the moment that it is shown so, also
     /// while the store has yet to confirm it, or a decision made at once would be lost unseen.
-    pub fn unpark(&mut self, id: &JobId, runs_again: bool) -> (bool, Vec<Command>) {
+    pub fn resolve_parked(&mut self, id: &JobId, runs_again: bool) -> (bool, Vec<Command>) {
         let is_parked = self.jobs.get(id).is_some_and(|live| {
             matches!(live.phase, Phase::Ending | Phase::Over)
                 && matches!(live.job.state, JobState::Parked { .. })
@@ -403,7 +403,7 @@
         if !is_parked {
             return (false, Vec::new());
         }
-        self.blame.forget(id);
+        self.failures.forget_job(id);
         let state = if runs_again { JobState::Queued } else { JobState::Cancelled };
         (true, self.finish(id, state))
     }
@@ -411,7 +411,7 @@
     /// Forgets old jobs, gives silent tasks up, and places what fits.
     pub fn tick(&mut self, now: Now) -> Vec<Command> {
         let mut commands = self.expire(now);
-        commands.extend(self.give_up_silent(now));
+        commands.extend(self.expire_task_leases(now));
         commands.extend(self.place(now));
         commands
     }
--- a/crates/jackdawpier_jobs/src/queue/placement.rs
+++ b/crates/jackdawpier_jobs/src/queue/placement.rs
@@ -59,22 +59,22 @@
     /// Places the head of a class, or returns `None` if it has to wait.
     fn place_one(&mut self, now: Now, name: &ClassName, id: &JobId) -> Option<Vec<Command>> {
         let job = &self.jobs[id].job;
-        let expected = self.learning.expected(&job.class, &job.customer, job.declared);
-        let failed_on: BTreeSet<WorkerId> = self.blame.failed_on(id).cloned().collect();
+        let expected = self.size_estimator.estimate(&job.class, &job.customer, job.declared);
+        let failed_on: BTreeSet<WorkerId> = self.failures.failed_workers(id).cloned().collect();
         let avoid = |worker: &str| {
             failed_on.contains(worker)
-                || self.blame.is_quarantined(now, worker)
-                || self.blurs_blame(now, id, worker)
+                || self.failures.is_quarantined(now, worker)
+                || self.would_obscure_failure_cause(now, id, worker)
         };
         let chosen = self.workers.best_fit(&expected, avoid).or_else(|| {
-            self.workers.best_fit(&expected, |worker| self.blame.is_quarantined(now, worker))
+            self.workers.best_fit(&expected, |worker| self.failures.is_quarantined(now, worker))
         });
         if let Some(worker) = chosen {
             self.classes.get_mut(name)?.queue.pop(expected.cores_milli);
             return Some(self.claim(id, worker, expected));
         }
         let declared = self.jobs[id].job.declared;
-        if !self.workers.is_empty() && !self.workers.is_possible(&declared) {
+        if !self.workers.is_empty() && !self.workers.fits_any_when_empty(&declared) {
             self.classes.get_mut(name)?.queue.pop(1);
             return Some(self.finish(id, JobState::Parked { reason: ParkReason::TooLarge }));
         }
@@ -117,7 +117,7 @@
         let victims = self.running.iter().filter_map(|id| self.jobs.get(id)).filter(is_victim);
         for live in victims.take(MAX_VICTIMS) {
             let Some(worker) = live.worker() else { continue };
-            if self.blame.is_quarantined(now, worker) {
+            if self.failures.is_quarantined(now, worker) {
                 continue;
             }
             let (freed, ids) = by_worker.entry(worker).or_default();
--- a/crates/jackdawpier_jobs/src/queue/tasks.rs
+++ b/crates/jackdawpier_jobs/src/queue/tasks.rs
@@ -8,9 +8,9 @@
     task::{TaskAction, TaskCommand, TaskReport, TaskState},
 };
 
-use super::{Command, JobQueue, Phase, StartEnd};
+use super::{Command, JobQueue, Phase, StartOutcome};
 use crate::{
-    blame::Verdict,
+    failures::Verdict,
     job::{JobState, ParkReason},
 };
 
@@ -22,23 +22,23 @@
 
 impl JobQueue {
     /// Learns how the start of a task went.
-    pub fn start_ended(
+    pub fn on_start_outcome(
         &mut self,
         now: Now,
         id: &JobId,
         attempt: u32,
-        end: StartEnd,
+        end: StartOutcome,
     ) -> Vec<Command> {
         let Some(live) = self.jobs.get_mut(id) else { return Vec::new() };
         if live.phase != Phase::Starting || live.job.attempts != attempt {
             return Vec::new();
         }
         match end {
-            StartEnd::Reported(report) => {
+            StartOutcome::Reported(report) => {
                 live.phase = Phase::Running;
                 self.on_report(now, &report)
             }
-            StartEnd::NotSent => {
+            StartOutcome::NotSent => {
                 let worker = live.worker().cloned();
                 let is_cancelled = live.is_cancelled;
                 self.free_worker(id);
@@ -49,7 +49,7 @@
                 self.finish(id, state)
             }
             // The worker is asked, and the lease is waited out.
-            StartEnd::Lost => {
+            StartOutcome::Unanswered => {
                 live.phase = Phase::Running;
                 Vec::new()
             }
@@ -97,14 +97,14 @@
         let Some(worker) = live.worker().cloned() else { return Vec::new() };
         let (id, class, customer) =
             (report.job.clone(), live.job.class.clone(), live.job.customer.clone());
-        self.learning.observe(&class, &customer, live.job.declared, report.usage);
+        self.size_estimator.observe(&class, &customer, live.job.declared, report.usage);
         match report.state {
             TaskState::Running => {
                 live.phase = Phase::Running;
                 Vec::new()
             }
             TaskState::Done => {
-                self.blame.succeeded(&id, &worker);
+                self.failures.record_success(&id, &worker);
                 self.free_worker(&id);
                 self.finish(&id, JobState::Done)
             }
@@ -115,7 +115,7 @@
 
     fn on_failed(&mut self, now: Now, id: &JobId, worker: &WorkerId) -> Vec<Command> {
         let rack = self.rack_of(worker);
-        let verdict = self.blame.failed(now, id, worker, &rack);
+        let verdict = self.failures.record_failure(now, id, worker, &rack);
         self.free_worker(id);
         let state = self.state_after(id, ParkReason::Failed, verdict);
         self.finish(id, state)
@@ -124,7 +124,7 @@
     /// The task stopped before its end, by our word or by the end of its lease.
     fn on_stopped(&mut self, id: &JobId) -> Vec<Command> {
         self.free_worker(id);
-        let state = self.state_after(id, ParkReason::OutcomeUnknown, Verdict::TryElsewhere);
+        let state = self.state_after(id, ParkReason::OutcomeUnknown, Verdict::RetryElsewhere);
         self.finish(id, state)
     }
 
@@ -152,9 +152,9 @@
         let worker = self.jobs[id].worker().cloned();
         let is_shared = self.has_newcomer_beside(id);
         self.free_worker(id);
-        let verdict = worker.map_or(Verdict::TryElsewhere, |worker| {
+        let verdict = worker.map_or(Verdict::RetryElsewhere, |worker| {
             let rack = self.rack_of(&worker);
-            self.blame.lost(now, id, &worker, &rack, is_shared)
+            self.failures.record_worker_loss(now, id, &worker, &rack, is_shared)
         });
         let state = self.state_after(id, ParkReason::OutcomeUnknown, verdict);
         self.finish(id, state)
@@ -170,8 +170,8 @@
 
     /// Whether a job and another that has just begun on a worker would begin there together, and one of them
     /// has lost a worker before: if this one falls silent too, nothing would tell which of them it was.
-    pub(super) fn blurs_blame(&self, now: Now, id: &JobId, worker: &str) -> bool {
-        let is_suspect = |id: &JobId| self.blame.failed_on(id).next().is_some();
+    pub(super) fn would_obscure_failure_cause(&self, now: Now, id: &JobId, worker: &str) -> bool {
+        let is_suspect = |id: &JobId| self.failures.failed_workers(id).next().is_some();
         let is_newcomer = |other: &&JobId| {
             let live = &self.jobs[*other];
             let began = live.started_at + self.task_lease / RENEWALS_PER_LEASE;
@@ -183,7 +183,7 @@
     }
 
     /// Notes that a renewal reached the worker, sent at `sent_at`.
-    pub fn renewed(&mut self, sent_at: Now, id: &str) {
+    pub fn on_renewed(&mut self, sent_at: Now, id: &str) {
         if let Some(live) = self.jobs.get_mut(id) {
             live.renewed_at = live.renewed_at.max(sent_at);
         }
@@ -205,20 +205,20 @@
 
     /// Renewals of every task that may run, for an owner that can't rely on its lease: whoever
     /// owns the shard later finds the tasks running. A renewal by two entries does no harm.
-    pub fn keep_alive(&self) -> Vec<(WorkerId, TaskCommand)> {
+    pub fn keep_alive_renewals(&self) -> Vec<(WorkerId, TaskCommand)> {
         self.running
             .iter()
             .filter_map(|id| self.jobs.get(id))
             .filter(|live| matches!(live.phase, Phase::Starting | Phase::Running))
             .filter(|live| !live.is_stopping)
             .filter_map(|live| match live.command(TaskAction::Renew)? {
-                Command::Tell { worker, command } => Some((worker, command)),
+                Command::Send { worker, command } => Some((worker, command)),
                 _ => None,
             })
             .collect()
     }
 
-    pub(super) fn give_up_silent(&mut self, now: Now) -> Vec<Command> {
+    pub(super) fn expire_task_leases(&mut self, now: Now) -> Vec<Command> {
         let wait = self.task_lease + LEASE_MARGIN;
         let silent: Vec<JobId> = self
             .running
--- a/crates/jackdawpier_jobs/src/learning.rs
+++ b/crates/jackdawpier_jobs/src/size_estimator.rs
@@ -56,7 +56,7 @@
 
 /// Corrections by class and customer.
 #[derive(Debug, Default)]
-pub struct Learning {
+pub struct SizeEstimator {
     by_owner: HashMap<(ClassName, CustomerName), Learned>,
 }
 
@@ -68,7 +68,7 @@
     (value as f64 * factor).ceil() as u64
 }
 
-impl Learning {
+impl SizeEstimator {
     /// Learns from one report of a running task.
     pub fn observe(
         &mut self,
@@ -89,7 +89,7 @@
 
     /// The size to reserve for a task. Memory is never reserved below what was declared until a
     /// report has come, since running out of it kills the neighbours.
-    pub fn expected(&self, class: &ClassName, customer: &CustomerName, declared: Size) -> Size {
+    pub fn estimate(&self, class: &ClassName, customer: &CustomerName, declared: Size) -> Size {
         let Some(learned) = self.by_owner.get(&(class.clone(), customer.clone())) else {
             return declared;
         };
--- a/crates/jackdawpier_jobs/src/workers.rs
+++ b/crates/jackdawpier_jobs/src/workers.rs
@@ -94,7 +94,7 @@
     }
 
     /// Whether any worker could take `size` if it were empty.
-    pub fn is_possible(&self, size: &Size) -> bool {
+    pub fn fits_any_when_empty(&self, size: &Size) -> bool {
         self.all.values().any(|worker| {
             let empty = Worker { info: worker.info.clone(), used: Size::default() };
             empty.fits(size)
@@ -140,7 +140,7 @@
     }
 
     /// Workers that the reservations would fill, in thousandths.
-    pub fn demand_milli(&self) -> u32 {
+    pub fn reserved_workers_milli(&self) -> u32 {
         let capacity: u64 = self.all.values().map(|w| w.info.capacity.cores_milli).sum();
         let workers = self.all.len() as u64;
         let filled = self.used_cores_milli() * workers * 1000;
--- a/crates/jackdawpier_jobs/tests/lost_workers.rs
+++ b/crates/jackdawpier_jobs/tests/lost_workers.rs
@@ -7,7 +7,7 @@
 
 use jackdawpier_jobs::{
     job::{JobState, ParkReason},
-    queue::{Command, JobQueue, StartEnd},
+    queue::{Command, JobQueue, StartOutcome},
     workers::WorkerInfo,
 };
 use jackdawpier_kernel::{
@@ -75,8 +75,8 @@
             match command {
                 Command::Write(job) => {
                     self.writes += 1;
-                    self.queue.recording(self.writes, job.id.clone());
-                    let durable = self.queue.committed(self.now, self.writes);
+                    self.queue.on_write_queued(self.writes, job.id.clone());
+                    let durable = self.queue.on_committed(self.now, self.writes);
                     self.follow(durable);
                 }
                 Command::Start { worker, task: start } => {
@@ -91,8 +91,9 @@
                         usage: SIZE,
                         ran_ms: 1,
                     };
-                    let end = StartEnd::Reported(report);
-                    let next = self.queue.start_ended(self.now, &start.job, start.attempt, end);
+                    let end = StartOutcome::Reported(report);
+                    let next =
+                        self.queue.on_start_outcome(self.now, &start.job, start.attempt, end);
                     self.follow(next);
                 }
                 _ => {}
@@ -112,9 +113,9 @@
 
     fn renew(&mut self) {
         for renewal in self.queue.renewals(self.now) {
-            let Command::Tell { worker, command } = renewal else { continue };
+            let Command::Send { worker, command } = renewal else { continue };
             if !self.silent.contains(&worker) {
-                self.queue.renewed(self.now, &command.job);
+                self.queue.on_renewed(self.now, &command.job);
             }
         }
     }
--- a/crates/jackdawpier_jobs/tests/parked.rs
+++ b/crates/jackdawpier_jobs/tests/parked.rs
@@ -6,7 +6,7 @@
 
 use jackdawpier_jobs::{
     job::{Job, JobState, ParkReason},
-    queue::{Command, JobQueue, StartEnd},
+    queue::{Command, JobQueue, StartOutcome},
 };
 use jackdawpier_kernel::{
     Now,
@@ -27,20 +27,20 @@
             if let Command::Write(job) = command {
                 let id = job.id.clone();
                 self.writes.push(job);
-                self.queue.recording(self.writes.len() as u64, id);
+                self.queue.on_write_queued(self.writes.len() as u64, id);
             }
         }
     }
 
     fn commit(&mut self, up_to: usize) -> Vec<Command> {
-        let commands = self.queue.committed(Now::ZERO, up_to as u64);
+        let commands = self.queue.on_committed(Now::ZERO, up_to as u64);
         self.follow(commands.clone());
         commands
     }
 
     /// Carries an operator's decision out and says whether it was taken.
     fn decide(&mut self, id: &JobId, runs_again: bool) -> bool {
-        let (is_accepted, commands) = self.queue.unpark(id, runs_again);
+        let (is_accepted, commands) = self.queue.resolve_parked(id, runs_again);
         self.follow(commands);
         is_accepted
     }
@@ -70,7 +70,7 @@
         usage: SIZE,
         ran_ms: 1,
     };
-    let ended = owner.queue.start_ended(Now::ZERO, id, 1, StartEnd::Reported(report));
+    let ended = owner.queue.on_start_outcome(Now::ZERO, id, 1, StartOutcome::Reported(report));
     owner.follow(ended);
     assert_eq!(owner.state(id), JobState::Parked { reason: ParkReason::Failed });
     owner
@@ -111,7 +111,7 @@
     let id: JobId = "job".into();
     let mut owner = owner_of_failed(&id);
     assert!(owner.decide(&id, false), "the decision was dropped");
-    let (is_accepted, commands) = owner.queue.unpark(&id, true);
+    let (is_accepted, commands) = owner.queue.resolve_parked(&id, true);
     assert!(!is_accepted && commands.is_empty());
     owner.commit(4);
     assert_eq!(owner.state(&id), JobState::Cancelled);
--- a/crates/jackdawpier_proofs/tests/jobs.rs
+++ b/crates/jackdawpier_proofs/tests/jobs.rs
@@ -4,7 +4,7 @@
 
 use jackdawpier_jobs::{
     job::{Job, JobState, ParkReason},
-    queue::{Command, JobQueue, StartEnd},
+    queue::{Command, JobQueue, StartOutcome},
     workers::WorkerInfo,
 };
 use jackdawpier_kernel::{
@@ -51,7 +51,7 @@
 
 enum Message {
     Start { owner: u64, worker: WorkerId, task: StartTask },
-    Answer { owner: u64, job: JobId, attempt: u32, end: StartEnd },
+    Answer { owner: u64, job: JobId, attempt: u32, end: StartOutcome },
     Commit { owner: u64, number: u64 },
 }
 
@@ -223,7 +223,7 @@
             match command {
                 Command::Write(job) => {
                     self.writes += 1;
-                    self.queue.recording(self.writes, job.id.clone());
+                    self.queue.on_write_queued(self.writes, job.id.clone());
                     if self.switches.skips_claim
                         && let JobState::Claimed { worker } = &job.state
                     {
@@ -235,7 +235,7 @@
                 }
                 Command::Accepted(id) => self.accepted.push(id),
                 Command::Start { worker, task } => self.send_start(worker, task),
-                Command::Tell { worker, command } => self.tell(&worker, &command),
+                Command::Send { worker, command } => self.tell(&worker, &command),
                 Command::Forget(_) => {}
             }
         }
@@ -247,7 +247,7 @@
         let at = self.now + STEP * delay;
         if delay > 10 {
             let (job, attempt) = (task.job.clone(), task.attempt);
-            let answer = Message::Answer { owner, job, attempt, end: StartEnd::Lost };
+            let answer = Message::Answer { owner, job, attempt, end: StartOutcome::Unanswered };
             self.later.push((self.now + STEP * 10, answer));
         }
         self.later.push((at, Message::Start { owner, worker, task }));
@@ -262,11 +262,11 @@
             match message {
                 Message::Start { owner, worker, task } => self.on_start(owner, &worker, &task),
                 Message::Answer { owner, job, attempt, end } if owner == self.owner => {
-                    let commands = self.queue.start_ended(self.now, &job, attempt, end);
+                    let commands = self.queue.on_start_outcome(self.now, &job, attempt, end);
                     self.follow(commands);
                 }
                 Message::Commit { owner, number } if owner == self.owner => {
-                    let commands = self.queue.committed(self.now, number);
+                    let commands = self.queue.on_committed(self.now, number);
                     self.follow(commands);
                 }
                 Message::Answer { .. } | Message::Commit { .. } => {}
@@ -282,7 +282,7 @@
         let answer =
             |end| Message::Answer { owner, job: task.job.clone(), attempt: task.attempt, end };
         if worker.is_cut {
-            let message = answer(StartEnd::NotSent);
+            let message = answer(StartOutcome::NotSent);
             self.later.push((self.now + STEP, message));
             return;
         }
@@ -300,7 +300,8 @@
             worker.tasks.insert(task.job.clone(), started);
         }
         let report = report(&task.job, &worker.tasks[&task.job]);
-        let end = if is_answer_lost { StartEnd::Lost } else { StartEnd::Reported(report) };
+        let end =
+            if is_answer_lost { StartOutcome::Unanswered } else { StartOutcome::Reported(report) };
         let message = answer(end);
         self.later.push((self.now + STEP, message));
     }
@@ -320,7 +321,7 @@
             TaskAction::Stop => task.state = TaskState::Stopped,
             TaskAction::Checkpoint | TaskAction::Throttle => {}
         }
-        self.queue.renewed(now, &command.job);
+        self.queue.on_renewed(now, &command.job);
         let report = report(&command.job, &self.workers[id].tasks[&command.job]);
         let commands = self.queue.on_report(now, &report);
         self.follow(commands);
--- a/crates/jackdawpierd/src/service.rs
+++ b/crates/jackdawpierd/src/service.rs
@@ -304,7 +304,8 @@
     /// Instances that the work here would fill, in thousandths.
     pub(crate) fn demand_milli(&self) -> u32 {
         let state = self.lock();
-        let tasks = state.owned.as_ref().map_or(0, |owned| owned.jobs.workers().demand_milli());
+        let tasks =
+            state.owned.as_ref().map_or(0, |owned| owned.jobs.workers().reserved_workers_milli());
         state.dispatcher.demand_milli() + tasks
     }
 
--- a/crates/jackdawpierd/src/service_jobs.rs
+++ b/crates/jackdawpierd/src/service_jobs.rs
@@ -5,7 +5,7 @@
 use jackdawpier_coord::cell;
 use jackdawpier_jobs::{
     job::{Job, JobState},
-    queue::{Command, JobQueue, StartEnd},
+    queue::{Command, JobQueue, StartOutcome},
     workers::WorkerInfo,
 };
 use jackdawpier_kernel::{
@@ -112,8 +112,8 @@
             let commands = match action {
                 JobAction::Show => Vec::new(),
                 JobAction::Cancel => owned.jobs.cancel(id).1,
-                JobAction::Retry => owned.jobs.unpark(id, true).1,
-                JobAction::Discard => owned.jobs.unpark(id, false).1,
+                JobAction::Retry => owned.jobs.resolve_parked(id, true).1,
+                JobAction::Discard => owned.jobs.resolve_parked(id, false).1,
             };
             let answer = owned.jobs.job(id).map_or(JobAnswer::NoSuchJob, |job| {
                 JobAnswer::Shown(serde_json::to_string(job).expect("jobs are plain data"))
@@ -191,7 +191,7 @@
                     let id = job.id.clone();
                     let number = owned.cell.put(job_subject(&id), &CellState::Job(job));
                     if let Some(number) = number {
-                        owned.jobs.recording(number, id);
+                        owned.jobs.on_write_queued(number, id);
                     }
                 }
                 Command::Accepted(id) => {
@@ -203,7 +203,7 @@
                     let address = self.worker_addresses.get(&worker).cloned().unwrap_or_default();
                     actions.push(Action::Job(JobCall::Start { address, task }));
                 }
-                Command::Tell { worker, command } => {
+                Command::Send { worker, command } => {
                     let address = self.worker_addresses.get(&worker).cloned().unwrap_or_default();
                     actions.push(Action::Job(JobCall::Tell { address, command }));
                 }
@@ -216,15 +216,15 @@
         actions
     }
 
-    fn on_start(&mut self, now: Now, task: &StartTask, end: StartEnd) -> Vec<Action> {
+    fn on_start(&mut self, now: Now, task: &StartTask, end: StartOutcome) -> Vec<Action> {
         let Some(owned) = &mut self.owned else { return Vec::new() };
-        let commands = owned.jobs.start_ended(now, &task.job, task.attempt, end);
+        let commands = owned.jobs.on_start_outcome(now, &task.job, task.attempt, end);
         self.follow_jobs(now, commands)
     }
 
     fn on_told(&mut self, now: Now, sent_at: Now, report: &TaskReport) -> Vec<Action> {
         let Some(owned) = &mut self.owned else { return Vec::new() };
-        owned.jobs.renewed(sent_at, &report.job);
+        owned.jobs.on_renewed(sent_at, &report.job);
         let commands = owned.jobs.on_report(now, report);
         self.follow_jobs(now, commands)
     }
--- a/crates/jackdawpierd/src/service_state.rs
+++ b/crates/jackdawpierd/src/service_state.rs
@@ -338,7 +338,7 @@
                 }
                 Output::Committed { up_to } => {
                     let committed = owned.dedupe.committed(up_to);
-                    let commands = owned.jobs.committed(now, up_to);
+                    let commands = owned.jobs.on_committed(now, up_to);
                     for (outcome, waiters) in &committed.learned {
                         owned.answer(waiters, outcome);
                     }
@@ -390,7 +390,7 @@
     /// another's outcome are told that it is not known here any more.
     pub(crate) fn drop_owned(&mut self, now: Now) {
         let Some(owned) = self.owned.take() else { return };
-        self.kept_alive = owned.jobs.keep_alive();
+        self.kept_alive = owned.jobs.keep_alive_renewals();
         for ticket in owned.dedupe.retire(now, &mut self.former) {
             let reply = self.requests.remove(&ticket).and_then(|mut running| running.reply.take());
             if let Some(reply) = reply {
--- a/crates/jackdawpierd/src/worker_client.rs
+++ b/crates/jackdawpierd/src/worker_client.rs
@@ -2,7 +2,7 @@
 
 use std::{io, time::Duration};
 
-use jackdawpier_jobs::queue::StartEnd;
+use jackdawpier_jobs::queue::StartOutcome;
 use jackdawpier_kernel::task::{StartTask, TASKS_PATH, TaskCommand, TaskReport};
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
@@ -26,12 +26,12 @@
     }
 
     /// Starts a task. Blocks for at most the call timeout.
-    pub(crate) fn start(&self, address: &str, task: &StartTask) -> StartEnd {
+    pub(crate) fn start(&self, address: &str, task: &StartTask) -> StartOutcome {
         let body = serde_json::to_vec(task).expect("tasks are plain data");
         match self.agent.post(format!("http://{address}{TASKS_PATH}")).send(&body) {
-            Ok(response) => read(response).map_or(StartEnd::Lost, StartEnd::Reported),
-            Err(error) if is_not_sent(&error) => StartEnd::NotSent,
-            Err(_) => StartEnd::Lost,
+            Ok(response) => read(response).map_or(StartOutcome::Unanswered, StartOutcome::Reported),
+            Err(error) if is_not_sent(&error) => StartOutcome::NotSent,
+            Err(_) => StartOutcome::Unanswered,
         }
     }
 
