--- a/crates/jackdawpier_bench/src/owner.rs
+++ b/crates/jackdawpier_bench/src/owner.rs
@@ -188,7 +188,7 @@
     fn list(&mut self) {
         let now = self.now;
         let listed = self.infos.values().cloned().collect();
-        self.timed("list_executors", |fleet| fleet.list_executors(now, listed));
+        self.timed("replace_executors", |fleet| fleet.replace_executors(now, listed));
         let machines = self.infos.iter().map(|(id, info)| MachineInfo {
             id: id[2..].into(),
             pool: info.service.clone(),
--- a/crates/jackdawpier_entry/src/owner/executors.rs
+++ b/crates/jackdawpier_entry/src/owner/executors.rs
@@ -219,7 +219,7 @@
     /// Lets the loops go on whose executors may be told to forget more ends. Only those: woken by each
     /// write, hundreds of them looked in vain a hundred times a second.
     pub(super) fn wake_settled(&self) {
-        let settled = self.fleet.borrow_mut().take_settled();
+        let settled = self.fleet.borrow_mut().take_acknowledgeable();
         let sessions = self.sessions.borrow();
         let waiting = settled.iter().filter_map(|id| sessions.get(id));
         waiting.for_each(|session| session.settled.notify_one());
--- a/crates/jackdawpier_entry/src/owner/explain.rs
+++ b/crates/jackdawpier_entry/src/owner/explain.rs
@@ -6,7 +6,7 @@
 use std::{rc::Rc, time::Duration};
 
 use jackdawpier_fleet::fleet::{
-    Blame, GivenUp, Loss, LostRun, Obstacles, Pause, Shortage, WaitingTask,
+    CrashBackoff, ExecutorLoss, GivenUpTask, LostRun, Obstacles, Shortage, TaskCrash, WaitingTask,
 };
 use serde_json::{Value, json};
 
@@ -39,15 +39,15 @@
 
     /// Says of each executor that was lost which tasks it took along, and which of them are blamed.
     pub(super) fn log_losses(&self) {
-        let (losses, blames, given_up, pauses) = {
+        let (losses, task_crashes, given_up, pauses) = {
             let mut fleet = self.fleet.borrow_mut();
-            let (losses, blames) = (fleet.take_losses(), fleet.take_blames());
-            (losses, blames, fleet.take_given_up(), fleet.take_pauses())
+            let (losses, task_crashes) = (fleet.take_executor_losses(), fleet.take_task_crashes());
+            (losses, task_crashes, fleet.take_given_up_tasks(), fleet.take_crash_backoffs())
         };
         for loss in &losses {
             self.events.emit("executor_lost", lost(loss));
         }
-        for blame in &blames {
+        for blame in &task_crashes {
             self.events.emit("task_suspect", blamed(blame));
         }
         for task in &given_up {
@@ -79,7 +79,7 @@
 }
 
 /// The runs with the age of each, which tells whether one of them had just begun.
-fn lost(loss: &Loss) -> Value {
+fn lost(loss: &ExecutorLoss) -> Value {
     let named = |run: &LostRun| {
         let age_ms = run.age.map(|age| age.as_millis() as u64);
         json!({ "task": run.task.to_string(), "run": run.run, "age_ms": age_ms })
@@ -93,8 +93,8 @@
     })
 }
 
-fn blamed(blame: &Blame) -> Value {
-    let Blame { task, run, executor, crash, crashes, .. } = blame;
+fn blamed(blame: &TaskCrash) -> Value {
+    let TaskCrash { task, run, executor, crash, crashes, .. } = blame;
     json!({
         "task": task.to_string(),
         "run": run,
@@ -106,14 +106,14 @@
     })
 }
 
-fn not_started_again(given_up: &GivenUp) -> Value {
-    let GivenUp { task, run, crashes, job_goes_on } = given_up;
+fn not_started_again(given_up: &GivenUpTask) -> Value {
+    let GivenUpTask { task, run, crashes, job_goes_on } = given_up;
     json!({ "task": task.to_string(), "run": run, "crashes": crashes, "job_goes_on": job_goes_on })
 }
 
 /// Without a pause it isn't started again.
-fn tried_again_later(pause: &Pause) -> Value {
-    let Pause { task, run, crashes, lasts_for } = pause;
+fn tried_again_later(pause: &CrashBackoff) -> Value {
+    let CrashBackoff { task, run, crashes, lasts_for } = pause;
     let pause_ms = lasts_for.map(|time| time.as_millis() as u64);
     json!({ "task": task.to_string(), "run": run, "crashes": crashes, "pause_ms": pause_ms })
 }
--- a/crates/jackdawpier_entry/src/owner/takeover.rs
+++ b/crates/jackdawpier_entry/src/owner/takeover.rs
@@ -63,7 +63,7 @@
                 continue;
             }
             let (now, wall_ms) = (clock::now(), clock::wall_ms());
-            self.fleet.borrow_mut().recover_over(now, wall_ms, job.into(), &record);
+            self.fleet.borrow_mut().recover_ended_job(now, wall_ms, job.into(), &record);
         }
         self.tick();
         let fields = json!({
--- a/crates/jackdawpier_fleet/src/fleet.rs
+++ b/crates/jackdawpier_fleet/src/fleet.rs
@@ -3,21 +3,19 @@
 //! Everything here is rebuilt by each new owner from the store and from what executors say, so
 //! nothing in it has to outlive the process. Orders leave only for placements that are durable.
 
-mod blame;
-mod clearing;
-mod clearing_plan;
 mod command;
 mod commits;
-mod crash_scenes;
+mod crash_attribution;
+mod crash_backoff;
+mod defragmentation;
+mod defragmentation_plan;
 mod executors;
-mod freed_labels;
 mod gangs;
-mod held_back;
-mod held_room;
+mod incarnations;
 mod intake;
 mod label_need;
+mod label_reclaim;
 mod label_shares;
-mod lives;
 mod losses;
 mod maintenance;
 mod openings;
@@ -25,7 +23,9 @@
 mod placement;
 mod pool_view;
 mod pools;
+mod recent_crashes;
 mod reports;
+mod reservations;
 mod runs;
 mod starts;
 mod stops;
@@ -44,21 +44,21 @@
     ids::{AccountName, ExecutorId, JobId, PoolName, ServiceName},
 };
 
-pub use blame::{Blame, GivenUp};
 pub use command::{Command, StopReason};
 pub use commits::{Batch, ChangedJob, FinishedJob};
-pub use held_back::Pause;
-pub use losses::{Loss, LossEvidence, LostRun};
+pub use crash_attribution::{GivenUpTask, TaskCrash};
+pub use crash_backoff::CrashBackoff;
+pub use losses::{ExecutorLoss, LossEvidence, LostRun};
 pub use pools::Shortage;
 pub use reports::HoldDirective;
 pub use starts::StartOutcome;
 pub use stops::{StopEvidence, StopOutcome};
 pub use waits::{Obstacles, WaitingTask};
 
-use clearing::Clearings;
-use crash_scenes::CrashScenes;
-use held_back::HeldBack;
-use intake::EndedBefore;
+use crash_backoff::CrashBackoffs;
+use defragmentation::Defragmentations;
+use intake::InheritedEndedJob;
+use recent_crashes::RecentCrashes;
 
 use crate::{
     account::{Account, Accounts},
@@ -132,16 +132,16 @@
     /// Jobs that are over, with the time since when.
     over: VecDeque<(JobId, Now)>,
     /// Those that an earlier owner ended.
-    ended_before: BTreeMap<JobId, EndedBefore>,
+    inherited_ended_jobs: BTreeMap<JobId, InheritedEndedJob>,
     advice: BTreeMap<(JobId, usize), Advice>,
     commands: Vec<Command>,
     finished: Vec<FinishedJob>,
-    losses: Vec<Loss>,
-    blames: Vec<Blame>,
-    given_up: Vec<GivenUp>,
-    held_back: HeldBack,
-    crash_scenes: CrashScenes,
-    clearings: Clearings,
+    losses: Vec<ExecutorLoss>,
+    task_crashes: Vec<TaskCrash>,
+    given_up: Vec<GivenUpTask>,
+    crash_backoffs: CrashBackoffs,
+    recent_crashes: RecentCrashes,
+    defragmentations: Defragmentations,
     /// Executors of which more ends have become durable.
     settled: Vec<ExecutorId>,
     machines: Machines,
@@ -149,7 +149,7 @@
     expired_at: Now,
     shortages: Vec<Shortage>,
     /// Since when pools lack machines with a label.
-    label_lacks_since: BTreeMap<(PoolName, Label), Now>,
+    label_shortages_since: BTreeMap<(PoolName, Label), Now>,
     arrivals: BTreeMap<ServiceName, Arrivals>,
     /// Labels that jobs have asked for in this term.
     asked_labels: BTreeSet<Label>,
@@ -177,21 +177,21 @@
             by_service: BTreeMap::new(),
             dirty: VecDeque::new(),
             over: VecDeque::new(),
-            ended_before: BTreeMap::new(),
+            inherited_ended_jobs: BTreeMap::new(),
             advice: BTreeMap::new(),
             commands: Vec::new(),
             finished: Vec::new(),
             losses: Vec::new(),
-            blames: Vec::new(),
+            task_crashes: Vec::new(),
             given_up: Vec::new(),
-            held_back: HeldBack::default(),
-            crash_scenes: CrashScenes::default(),
-            clearings: Clearings::default(),
+            crash_backoffs: CrashBackoffs::default(),
+            recent_crashes: RecentCrashes::default(),
+            defragmentations: Defragmentations::default(),
             settled: Vec::new(),
             machines_planned_at: Now::ZERO,
             expired_at: Now::ZERO,
             shortages: Vec::new(),
-            label_lacks_since: BTreeMap::new(),
+            label_shortages_since: BTreeMap::new(),
             arrivals: BTreeMap::new(),
             asked_labels: BTreeSet::new(),
             next_batch: 0,
@@ -229,7 +229,7 @@
     /// What a caller is told of a job; none if it isn't known here.
     pub fn view(&self, id: &str) -> Option<JobView> {
         let Some(job) = self.jobs.get(id) else {
-            return self.ended_before.get(id).map(|ended| JobView::Over(ended.outcome));
+            return self.inherited_ended_jobs.get(id).map(|ended| JobView::Over(ended.outcome));
         };
         Some(match job.shown {
             Some(outcome) => JobView::Over(outcome),
@@ -246,7 +246,7 @@
     /// The client account that a job belongs to; none if the job isn't known here.
     pub fn account_of(&self, id: &str) -> Option<Option<&AccountName>> {
         let of_open = self.jobs.get(id).map(|job| job.account.as_ref());
-        of_open.or_else(|| self.ended_before.get(id).map(|ended| ended.account.as_ref()))
+        of_open.or_else(|| self.inherited_ended_jobs.get(id).map(|ended| ended.account.as_ref()))
     }
 
     /// Jobs of each queue of which no task has begun.
@@ -290,10 +290,10 @@
         self.wall_ms = wall_ms;
         self.accounts.expire(now);
         self.open_due(now, wall_ms);
-        self.expire_sometimes(now);
+        self.expire_executors_if_due(now);
         self.plan_machines(now);
         self.reopen_machine(now);
-        self.release_held(now);
+        self.release_backed_off(now);
         self.place(now);
     }
 
@@ -325,7 +325,7 @@
             }
             let (id, _) = self.over.pop_front().expect("the front was just read");
             self.jobs.remove(&id);
-            self.ended_before.remove(&id);
+            self.inherited_ended_jobs.remove(&id);
             forgotten.push(id);
         }
         forgotten
--- a/crates/jackdawpier_fleet/src/fleet/commits.rs
+++ b/crates/jackdawpier_fleet/src/fleet/commits.rs
@@ -153,7 +153,7 @@
 
     /// Executors of which more ends have become durable since the last call, so that more of them may be
     /// acknowledged. One may be named several times.
-    pub fn take_settled(&mut self) -> Vec<ExecutorId> {
+    pub fn take_acknowledgeable(&mut self) -> Vec<ExecutorId> {
         std::mem::take(&mut self.settled)
     }
 
--- a/crates/jackdawpier_fleet/src/fleet/blame.rs
+++ b/crates/jackdawpier_fleet/src/fleet/crash_attribution.rs
@@ -9,7 +9,7 @@
     ids::{ExecutorId, JobId},
 };
 
-use super::{Fleet, crash_scenes::CrashScene, openings::Openings, placement::suits};
+use super::{Fleet, openings::Openings, placement::suits, recent_crashes::ExecutorCrash};
 use crate::{
     crash::{Crash, Lived},
     executor::{Executor, LastSigns, TaskRef, Watch},
@@ -40,7 +40,7 @@
 
 /// A task under which an executor has crashed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Blame {
+pub struct TaskCrash {
     /// The task.
     pub task: TaskKey,
     /// Number of the start.
@@ -55,7 +55,7 @@
 
 /// A task that isn't started again, or only after a pause if it lasts, since executors crash under it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct GivenUp {
+pub struct GivenUpTask {
     /// The task.
     pub task: TaskKey,
     /// Number of its last start.
@@ -68,12 +68,12 @@
 
 impl Fleet {
     /// Tasks under which executors have crashed since the last call.
-    pub fn take_blames(&mut self) -> Vec<Blame> {
-        std::mem::take(&mut self.blames)
+    pub fn take_task_crashes(&mut self) -> Vec<TaskCrash> {
+        std::mem::take(&mut self.task_crashes)
     }
 
     /// Tasks that were given up since the last call.
-    pub fn take_given_up(&mut self) -> Vec<GivenUp> {
+    pub fn take_given_up_tasks(&mut self) -> Vec<GivenUpTask> {
         std::mem::take(&mut self.given_up)
     }
 
@@ -96,11 +96,11 @@
                 Some((one, crash_under(now, task, step, signs, is_certain)?))
             })
             .collect();
-        let watched = self.watched_at(id, signs);
+        let watched = self.isolated_task(id, signs);
         let present = crashes.iter().map(|(task, crash)| ((*task).clone(), crash.run)).collect();
         let is_spontaneous =
             is_certain && tasks.iter().all(|task| self.seen_for(task, signs) >= LASTING_PROOF);
-        self.crash_scenes.note(CrashScene {
+        self.recent_crashes.note(ExecutorCrash {
             at: now,
             service: self.executors.get(id).and_then(Executor::service),
             is_watched: watched.is_some(),
@@ -160,11 +160,17 @@
         let (run, crashes) = (task.run, task.crashes().len());
         // The run may not be over for this owner yet, and the next one has to know.
         self.touch(&task_ref.0);
-        self.blames.push(Blame { task: task_key, run, executor: id.clone(), crash, crashes });
+        self.task_crashes.push(TaskCrash {
+            task: task_key,
+            run,
+            executor: id.clone(),
+            crash,
+            crashes,
+        });
     }
 
     /// The task that was watched on an executor when it was last heard of.
-    fn watched_at(&self, id: &ExecutorId, signs: LastSigns) -> Option<TaskRef> {
+    fn isolated_task(&self, id: &ExecutorId, signs: LastSigns) -> Option<TaskRef> {
         let watch = self.executors.get(id)?.watch.as_ref()?;
         let is_on = watch.until.is_none_or(|until| signs.last_answer < until);
         is_on.then(|| watch.task.clone())
@@ -189,7 +195,7 @@
     }
 
     /// Clears the tasks that last and have been seen alive for long enough, by a report of these runs.
-    pub(super) fn clear_living<'a>(
+    pub(super) fn clear_stable_tasks<'a>(
         &mut self,
         id: &ExecutorId,
         running: impl Iterator<Item = &'a TaskRef>,
@@ -209,7 +215,7 @@
 
     /// Whether a task can be watched on an executor: it was heard of a moment ago, so that its end means
     /// something, and all else has survived its start there but members of its own gang.
-    pub(super) fn can_watch(
+    pub(super) fn can_isolate(
         &self,
         now: Now,
         executor: &Executor,
@@ -241,7 +247,7 @@
 
     /// Lets nothing start in this round on the executor where a suspect task that lasts could be watched
     /// soonest. In a busy pool there is none otherwise: whatever room there is is taken at once.
-    pub(super) fn keep_quiet(
+    pub(super) fn reserve_for_suspect(
         &self,
         now: Now,
         id: &JobId,
@@ -267,7 +273,7 @@
     }
 
     /// Keeps other tasks from starting beside one that is watched.
-    pub(super) fn watch_start(&mut self, executor: &ExecutorId, id: &JobId, index: TaskIndex) {
+    pub(super) fn isolate_start(&mut self, executor: &ExecutorId, id: &JobId, index: TaskIndex) {
         let is_suspect = self.jobs.get(id).is_some_and(|job| self.is_suspect(job, index));
         if let Some(executor) = self.executors.get_mut(executor).filter(|_| is_suspect) {
             executor.watch = Some(Watch { task: (id.clone(), index), until: None });
@@ -282,14 +288,14 @@
         if job.is_over() || task.is_given_up || !task.crashes_too_often(job.lasts()) {
             return;
         }
-        let given_up = GivenUp {
+        let given_up = GivenUpTask {
             task: job.key(task_ref.1),
             run: task.run,
             crashes: task.crashes().len(),
             job_goes_on: job.lasts(),
         };
         job.tasks[task_ref.1].is_given_up = true;
-        self.clear_beside(task_ref);
+        self.clear_co_located_crashes(task_ref);
         if given_up.job_goes_on {
             self.touch(&task_ref.0);
         } else {
--- a/crates/jackdawpier_fleet/src/fleet/held_back.rs
+++ b/crates/jackdawpier_fleet/src/fleet/crash_backoff.rs
@@ -17,7 +17,7 @@
 
 /// A task that is tried again after a pause, since executors crashed under it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Pause {
+pub struct CrashBackoff {
     /// The task.
     pub task: TaskKey,
     /// Number of its last start.
@@ -39,35 +39,35 @@
 
 /// The tasks that are held back.
 #[derive(Debug, Default)]
-pub(super) struct HeldBack {
+pub(super) struct CrashBackoffs {
     tasks: Vec<Held>,
     /// Pauses that have begun, for the log.
-    begun: Vec<Pause>,
+    begun: Vec<CrashBackoff>,
 }
 
 impl Fleet {
     /// Pauses that have begun since the last call.
-    pub fn take_pauses(&mut self) -> Vec<Pause> {
-        std::mem::take(&mut self.held_back.begun)
+    pub fn take_crash_backoffs(&mut self) -> Vec<CrashBackoff> {
+        std::mem::take(&mut self.crash_backoffs.begun)
     }
 
     /// Keeps a task from starting for a while, or for good.
-    pub(super) fn hold_back(&mut self, now: Now, task_ref: &TaskRef, lasts_for: Option<Duration>) {
+    pub(super) fn back_off(&mut self, now: Now, task_ref: &TaskRef, lasts_for: Option<Duration>) {
         let Some(job) = self.jobs.get(&task_ref.0) else { return };
         if !job.step(task_ref.1).is_long_running {
             return;
         }
         let task = &job.tasks[task_ref.1];
         let (key, run, crashes) = (job.key(task_ref.1), task.run, task.crashes().len());
-        self.held_back.begun.push(Pause { task: key, run, crashes, lasts_for });
+        self.crash_backoffs.begun.push(CrashBackoff { task: key, run, crashes, lasts_for });
         if let Some(pause) = lasts_for {
             let (short_until, until) = (now + pause.min(PAUSE_SUSPECT), now + pause);
-            self.held_back.tasks.push(Held { task: task_ref.clone(), short_until, until });
+            self.crash_backoffs.tasks.push(Held { task: task_ref.clone(), short_until, until });
         }
     }
 
     /// Holds back what an earlier owner had held back; how much of the pause is over isn't known.
-    pub(super) fn hold_back_again(&mut self, now: Now, id: &JobId) {
+    pub(super) fn restore_backoffs(&mut self, now: Now, id: &JobId) {
         let Some(job) = self.jobs.get(id).filter(|job| !job.is_over()) else { return };
         let pause = |index: usize| match job.retry(index) {
             Retry::After(pause) if job.tasks[index].phase == Phase::Waiting => Some((index, pause)),
@@ -75,18 +75,18 @@
         };
         let held: Vec<(usize, Duration)> = (0..job.tasks.len()).filter_map(pause).collect();
         for (index, pause) in held {
-            self.hold_back(now, &(id.clone(), index), Some(pause));
+            self.back_off(now, &(id.clone(), index), Some(pause));
         }
     }
 
     /// Lets the tasks start whose pauses are over.
-    pub(super) fn release_held(&mut self, now: Now) {
+    pub(super) fn release_backed_off(&mut self, now: Now) {
         let (due, rest): (Vec<Held>, Vec<Held>) =
-            std::mem::take(&mut self.held_back.tasks).into_iter().partition(|held| {
+            std::mem::take(&mut self.crash_backoffs.tasks).into_iter().partition(|held| {
                 let is_short = now >= held.short_until;
                 now >= held.until || (is_short && self.has_accidents_without(now, &held.task))
             });
-        self.held_back.tasks = rest;
+        self.crash_backoffs.tasks = rest;
         for Held { task: (id, index), .. } in due {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             if !job.is_over() && !job.is_cancelled && job.tasks[index].phase == Phase::Waiting {
--- a/crates/jackdawpier_fleet/src/fleet/clearing.rs
+++ b/crates/jackdawpier_fleet/src/fleet/defragmentation.rs
@@ -15,7 +15,8 @@
 };
 
 use super::{
-    Fleet, Shortage, StopReason, clearing_plan::Relocation, openings::Openings, pool_view::Pool,
+    Fleet, Shortage, StopReason, defragmentation_plan::Relocation, openings::Openings,
+    pool_view::Pool,
 };
 use crate::{
     executor::{Executor, TaskRef},
@@ -29,7 +30,7 @@
 
 /// Executors that are cleared for one task, or its gang.
 #[derive(Debug)]
-struct Clearing {
+struct Defragmentation {
     task: TaskRef,
     relocations: Vec<Relocation>,
     kept: BTreeSet<ExecutorId>,
@@ -38,23 +39,23 @@
 
 /// The clearings under way, at most one of a service.
 #[derive(Debug, Default)]
-pub(super) struct Clearings {
-    open: BTreeMap<ServiceName, Clearing>,
+pub(super) struct Defragmentations {
+    open: BTreeMap<ServiceName, Defragmentation>,
     /// When the next one may begin.
     not_before: BTreeMap<ServiceName, Now>,
 }
 
 impl Fleet {
     /// Begins to clear executors for what waits in a pool that lacks machines and can't get any.
-    pub(super) fn begin_clearing(
+    pub(super) fn begin_defragmentation(
         &mut self,
         now: Now,
         shortage: &Shortage,
         pools: &BTreeMap<PoolName, Pool>,
     ) {
         let service = &shortage.pool;
-        let is_early = self.clearings.not_before.get(service).is_some_and(|at| now < *at);
-        let is_under_way = self.clearings.open.contains_key(service);
+        let is_early = self.defragmentations.not_before.get(service).is_some_and(|at| now < *at);
+        let is_under_way = self.defragmentations.open.contains_key(service);
         if is_early || is_under_way || !self.settings.policy.makes_room {
             return;
         }
@@ -63,49 +64,54 @@
         if self.jobs[id].step(*index).required_label != shortage.label {
             return;
         }
-        self.clearings.not_before.insert(service.clone(), now + TRY_AGAIN_AFTER);
+        self.defragmentations.not_before.insert(service.clone(), now + TRY_AGAIN_AFTER);
         let openings = self.openings(now);
         let Some(openings) = openings.get(service) else { return };
-        let Some(plan) = self.plan_clearing(now, &stuck.task, &openings.executors) else { return };
+        let Some(plan) = self.plan_defragmentation(now, &stuck.task, &openings.executors) else {
+            return;
+        };
         let (task, until) = (stuck.task.clone(), now + KEPT_FOR);
-        let clearing = Clearing { task, relocations: plan.relocations, kept: plan.kept, until };
-        self.clearings.open.insert(service.clone(), clearing);
+        let defragmentation =
+            Defragmentation { task, relocations: plan.relocations, kept: plan.kept, until };
+        self.defragmentations.open.insert(service.clone(), defragmentation);
     }
 
     /// Moves what has to move, places what waits for it, and keeps the executors from all else.
-    pub(super) fn go_on_clearing(
+    pub(super) fn continue_defragmentations(
         &mut self,
         now: Now,
         openings: &mut BTreeMap<ServiceName, Openings>,
     ) {
-        for (service, clearing) in std::mem::take(&mut self.clearings.open) {
+        for (service, defragmentation) in std::mem::take(&mut self.defragmentations.open) {
             let Some(openings) = openings.get_mut(&service) else { continue };
-            if !self.is_of_use(now, &clearing) {
+            if !self.is_of_use(now, &defragmentation) {
                 continue;
             }
-            clearing
+            defragmentation
                 .relocations
                 .iter()
                 .for_each(|relocation| self.go_on_relocating(now, relocation, openings));
-            let is_placed = !self.is_relocating(&clearing)
-                && self.place_job(now, &clearing.task.0, openings, 1)
-                && !self.waits(&clearing.task);
+            let is_placed = !self.is_relocating(&defragmentation)
+                && self.place_job(now, &defragmentation.task.0, openings, 1)
+                && !self.waits(&defragmentation.task);
             if is_placed {
                 continue;
             }
-            openings.executors.retain(|id| !clearing.kept.contains(id));
+            openings.executors.retain(|id| !defragmentation.kept.contains(id));
             openings.has_held = true;
-            self.clearings.open.insert(service, clearing);
+            self.defragmentations.open.insert(service, defragmentation);
         }
     }
 
     /// Whether the task still waits, and the executors may yet be free for it.
-    fn is_of_use(&self, now: Now, clearing: &Clearing) -> bool {
+    fn is_of_use(&self, now: Now, defragmentation: &Defragmentation) -> bool {
         let may_be_free = |id: &ExecutorId| {
             self.executors.get(id).is_some_and(Executor::stays)
                 && !self.machines.vacating().any(|leaving| leaving == id)
         };
-        now < clearing.until && self.waits(&clearing.task) && clearing.kept.iter().all(may_be_free)
+        now < defragmentation.until
+            && self.waits(&defragmentation.task)
+            && defragmentation.kept.iter().all(may_be_free)
     }
 
     fn waits(&self, (id, index): &TaskRef) -> bool {
@@ -113,8 +119,8 @@
     }
 
     /// Whether a task that was stopped has yet to start where it goes.
-    fn is_relocating(&self, clearing: &Clearing) -> bool {
-        clearing.relocations.iter().any(|relocation| self.waits(&relocation.task))
+    fn is_relocating(&self, defragmentation: &Defragmentation) -> bool {
+        defragmentation.relocations.iter().any(|relocation| self.waits(&relocation.task))
     }
 
     /// Stops a task once its step can spare it and there is room where it goes, and starts it there.
@@ -122,7 +128,7 @@
         let Relocation { task, from, to } = relocation;
         let Some(job) = self.jobs.get(&task.0) else { return };
         let Some(target) = self.executors.get(to) else { return };
-        if !openings.executors.contains(to) || !self.takes_relocated(now, task, target) {
+        if !openings.executors.contains(to) || !self.has_room_for_relocated(now, task, target) {
             return;
         }
         let phase = &job.tasks[task.1].phase;
--- a/crates/jackdawpier_fleet/src/fleet/clearing_plan.rs
+++ b/crates/jackdawpier_fleet/src/fleet/defragmentation_plan.rs
@@ -32,7 +32,7 @@
 
 /// The moves that make room, and the executors that have it then.
 #[derive(Debug)]
-pub(super) struct ClearingPlan {
+pub(super) struct DefragmentationPlan {
     pub(super) relocations: Vec<Relocation>,
     pub(super) kept: BTreeSet<ExecutorId>,
 }
@@ -87,12 +87,12 @@
 
 impl Fleet {
     /// The fewest moves found that make room for a task, or its gang, on these executors.
-    pub(super) fn plan_clearing(
+    pub(super) fn plan_defragmentation(
         &self,
         now: Now,
         (id, index): &TaskRef,
         executors: &[ExecutorId],
-    ) -> Option<ClearingPlan> {
+    ) -> Option<DefragmentationPlan> {
         let job = self.jobs.get(id)?;
         let step = job.step(*index);
         let (need, wanted) = (step.booked(), together(step));
@@ -111,7 +111,7 @@
             }
         }
         let kept = kept(&candidates, &relocations, &need, wanted);
-        (!relocations.is_empty()).then_some(ClearingPlan { relocations, kept })
+        (!relocations.is_empty()).then_some(DefragmentationPlan { relocations, kept })
     }
 
     fn candidate(
@@ -228,7 +228,7 @@
     }
 
     /// Whether an executor has room for a task that is to move there now.
-    pub(super) fn takes_relocated(&self, now: Now, task: &TaskRef, to: &Executor) -> bool {
+    pub(super) fn has_room_for_relocated(&self, now: Now, task: &TaskRef, to: &Executor) -> bool {
         let job = &self.jobs[&task.0];
         !to.is_watching(now) && super::placement::suits(to, job, task.1, None)
     }
--- a/crates/jackdawpier_fleet/src/fleet/executors.rs
+++ b/crates/jackdawpier_fleet/src/fleet/executors.rs
@@ -64,7 +64,7 @@
     }
 
     /// Takes in all executors that are registered, in place of those that were.
-    pub fn list_executors(&mut self, now: Now, listed: Vec<ExecutorInfo>) {
+    pub fn replace_executors(&mut self, now: Now, listed: Vec<ExecutorInfo>) {
         let ids: BTreeSet<ExecutorId> = listed.iter().map(|info| info.id.clone()).collect();
         let gone = self.executors.keys_of(|id, one| one.is_listed && !ids.contains(id));
         gone.iter().for_each(|id| self.unregister_executor(id));
@@ -73,7 +73,7 @@
     }
 
     /// Ends the executors that can't run anything any more, if that was last looked at a while ago.
-    pub(super) fn expire_sometimes(&mut self, now: Now) {
+    pub(super) fn expire_executors_if_due(&mut self, now: Now) {
         if now >= self.expired_at + EXPIRE_INTERVAL {
             self.expired_at = now;
             self.expire_executors(now);
@@ -94,7 +94,7 @@
                 && !self.may_answer(now, id, executor)
                 && executor.has_lapsed(now)
         });
-        lapsed.iter().for_each(|id| self.lose(now, id, LossEvidence::Lapsed));
+        lapsed.iter().for_each(|id| self.release_lost_executor(now, id, LossEvidence::Lapsed));
         let lease = self.settings.lease;
         self.executors.retain(|_, executor| {
             let is_heard = executor.heard_at().is_some_and(|at| now.saturating_sub(at) < lease);
@@ -115,7 +115,7 @@
 
     /// An executor's life is certainly over, so everything that ran there has ended.
     pub fn executor_ended(&mut self, now: Now, id: &ExecutorId, evidence: LossEvidence) {
-        self.lose(now, id, evidence);
+        self.release_lost_executor(now, id, evidence);
         if let Some(executor) = self.executors.get_mut(id) {
             executor.is_over = true;
             let registered = executor.info.as_ref().and_then(|info| info.life);
--- a/crates/jackdawpier_fleet/src/fleet/gangs.rs
+++ b/crates/jackdawpier_fleet/src/fleet/gangs.rs
@@ -110,7 +110,7 @@
             task.phase = Phase::Planned { executor: executor.clone() };
         }
         for (index, executor) in placed {
-            self.watch_start(executor, id, *index);
+            self.isolate_start(executor, id, *index);
         }
         let job = self.jobs.get_mut(id).expect("the caller has just read it");
         let is_placed = |index: &TaskIndex| placed.iter().any(|(one, _)| one == index);
--- a/crates/jackdawpier_fleet/src/fleet/lives.rs
+++ b/crates/jackdawpier_fleet/src/fleet/incarnations.rs
@@ -15,11 +15,11 @@
 
 /// What a report says of the life that it comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Life {
+pub(super) enum ReportOrigin {
     /// The one that is known.
-    Same,
+    Current,
     /// One that was over before: the report has been overtaken.
-    Former,
+    Previous,
     /// Another one.
     New(LifeId),
 }
@@ -33,7 +33,7 @@
     }
 
     /// Settles what a former life of an executor ran, after its first report in another one.
-    pub(super) fn settle_former_life(
+    pub(super) fn settle_previous_incarnation(
         &mut self,
         now: Now,
         sent_at: Now,
@@ -89,16 +89,16 @@
 
 impl Executor {
     /// Which life a report comes from.
-    pub(super) fn life_of(&mut self, report: &HoldReport) -> Life {
+    pub(super) fn report_origin(&mut self, report: &HoldReport) -> ReportOrigin {
         match (self.life, report.life) {
-            (_, None) => Life::Same,
+            (_, None) => ReportOrigin::Current,
             (None, Some(life)) => {
                 self.life = Some(life);
-                Life::Same
+                ReportOrigin::Current
             }
-            (Some(known), Some(life)) if known == life => Life::Same,
-            (Some(_), Some(life)) if self.former_lives.contains(&life) => Life::Former,
-            (Some(_), Some(life)) => Life::New(life),
+            (Some(known), Some(life)) if known == life => ReportOrigin::Current,
+            (Some(_), Some(life)) if self.former_lives.contains(&life) => ReportOrigin::Previous,
+            (Some(_), Some(life)) => ReportOrigin::New(life),
         }
     }
 
--- a/crates/jackdawpier_fleet/src/fleet/intake.rs
+++ b/crates/jackdawpier_fleet/src/fleet/intake.rs
@@ -23,7 +23,7 @@
 
 /// What is left of a job that an earlier owner ended.
 #[derive(Debug)]
-pub(super) struct EndedBefore {
+pub(super) struct InheritedEndedJob {
     pub(super) outcome: JobOutcome,
     pub(super) account: Option<AccountName>,
     /// Some task of it was ordered more than once.
@@ -87,7 +87,7 @@
             job.open_steps(now, wall_ms);
         }
         self.jobs.insert(id.clone(), job);
-        self.hold_back_again(now, &id);
+        self.restore_backoffs(now, &id);
     }
 
     /// Remembers the labels that a job asks for: others like it will come.
@@ -100,15 +100,15 @@
     }
 
     /// Takes in a job that an earlier owner ended, of which the store only has the record.
-    pub fn recover_over(&mut self, now: Now, wall_ms: u64, id: JobId, record: &JobRecord) {
+    pub fn recover_ended_job(&mut self, now: Now, wall_ms: u64, id: JobId, record: &JobRecord) {
         let Some(outcome) = record.outcome else { return };
         if self.jobs.contains_key(&id) {
             return;
         }
         self.count_remains(now, wall_ms, record);
         let account = record.account.clone();
-        let ended = EndedBefore { outcome, account, has_rerun: record.has_rerun };
-        self.ended_before.insert(id.clone(), ended);
+        let ended = InheritedEndedJob { outcome, account, has_rerun: record.has_rerun };
+        self.inherited_ended_jobs.insert(id.clone(), ended);
         self.over.push_back((id, now));
     }
 
--- a/crates/jackdawpier_fleet/src/fleet/freed_labels.rs
+++ b/crates/jackdawpier_fleet/src/fleet/label_reclaim.rs
@@ -29,21 +29,21 @@
 
 impl Fleet {
     /// Remembers since when each pool lacks machines with a label.
-    pub(super) fn note_label_lacks(&mut self, now: Now) {
+    pub(super) fn track_label_shortages(&mut self, now: Now) {
         let lacks: BTreeSet<(PoolName, Label)> = self
             .shortages
             .iter()
             .filter_map(|shortage| Some((shortage.pool.clone(), shortage.label.clone()?)))
             .collect();
-        self.label_lacks_since.retain(|lack, _| lacks.contains(lack));
+        self.label_shortages_since.retain(|lack, _| lacks.contains(lack));
         for lack in lacks {
-            self.label_lacks_since.entry(lack).or_insert(now);
+            self.label_shortages_since.entry(lack).or_insert(now);
         }
     }
 
     fn has_lacked_for_long(&self, now: Now, pool: &PoolName, label: &Label) -> bool {
         let lack = (pool.clone(), label.clone());
-        let since = self.label_lacks_since.get(&lack);
+        let since = self.label_shortages_since.get(&lack);
         since.is_some_and(|since| now.saturating_sub(*since) >= FREED_AFTER)
     }
 
@@ -51,7 +51,7 @@
     /// with more than its part, and no lasting work without room elsewhere: new work goes elsewhere,
     /// lasting tasks are given away one by one, then it moves. Where few machines have the label all of
     /// them may be taken by such work. The one with least on it is empty soonest.
-    pub(super) fn machine_to_free(
+    pub(super) fn machine_to_reclaim(
         &self,
         now: Now,
         pools: &BTreeMap<PoolName, Pool>,
--- a/crates/jackdawpier_fleet/src/fleet/losses.rs
+++ b/crates/jackdawpier_fleet/src/fleet/losses.rs
@@ -42,7 +42,7 @@
 
 /// An executor that had tasks when its life was over.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Loss {
+pub struct ExecutorLoss {
     /// The executor.
     pub executor: ExecutorId,
     /// How it is known.
@@ -55,12 +55,17 @@
 
 impl Fleet {
     /// Executors that were lost with tasks since the last call.
-    pub fn take_losses(&mut self) -> Vec<Loss> {
+    pub fn take_executor_losses(&mut self) -> Vec<ExecutorLoss> {
         std::mem::take(&mut self.losses)
     }
 
     /// Releases what ran on an executor, and blames it if the executor may have crashed.
-    pub(super) fn lose(&mut self, now: Now, id: &ExecutorId, evidence: LossEvidence) {
+    pub(super) fn release_lost_executor(
+        &mut self,
+        now: Now,
+        id: &ExecutorId,
+        evidence: LossEvidence,
+    ) {
         let Some(executor) = self.executors.get(id) else { return };
         let signs = executor.last_signs();
         let is_lapsed = evidence == LossEvidence::Lapsed;
@@ -105,7 +110,7 @@
             return;
         }
         let silent_for = executor.heard_at().map(|at| now.saturating_sub(at));
-        self.losses.push(Loss { executor: id.clone(), evidence, silent_for, runs });
+        self.losses.push(ExecutorLoss { executor: id.clone(), evidence, silent_for, runs });
     }
 }
 
--- a/crates/jackdawpier_fleet/src/fleet/placement.rs
+++ b/crates/jackdawpier_fleet/src/fleet/placement.rs
@@ -72,13 +72,13 @@
         }
         waiting.sort_unstable();
         let mut openings = self.openings(now);
-        self.go_on_clearing(now, &mut openings);
+        self.continue_defragmentations(now, &mut openings);
         self.place_starved(now, &waiting, &mut openings);
         for (_, id) in waiting {
             let openings = self.service_of(&id).and_then(|service| openings.get_mut(service));
             if let Some(openings) = openings.filter(|one| !one.executors.is_empty()) {
                 self.place_job(now, &id, openings, usize::MAX);
-                self.hold_room(now, &id, openings);
+                self.reserve_executors(now, &id, openings);
             }
         }
     }
@@ -141,7 +141,7 @@
                 openings.note_refused(self.jobs[id].step(index));
             }
             if is_suspect {
-                self.keep_quiet(now, id, index, openings);
+                self.reserve_for_suspect(now, id, index, openings);
             } else {
                 full_slots.push(slot);
             }
@@ -182,7 +182,7 @@
         let chosen = self.executors.get_mut(&executor).expect("just chosen");
         task.placed_in = chosen.life;
         book(chosen, &mut self.accounts, job, index);
-        self.watch_start(&executor, id, index);
+        self.isolate_start(&executor, id, index);
     }
 
     /// The executor that suits a task best; none if it fits nowhere now.
@@ -211,7 +211,7 @@
                 let executor = self.executors.get(executor_id)?;
                 if !suits(executor, job, index, rack)
                     || executor.is_watching(now)
-                    || (is_suspect && !self.can_watch(now, executor, job, index))
+                    || (is_suspect && !self.can_isolate(now, executor, job, index))
                 {
                     return None;
                 }
--- a/crates/jackdawpier_fleet/src/fleet/pool_view.rs
+++ b/crates/jackdawpier_fleet/src/fleet/pool_view.rs
@@ -44,7 +44,7 @@
     /// What runs, waits and arrives, in thousandths of a core.
     need_millicores: u64,
     /// Machines over which a lasting step has to be spread of which some task waits: it allows so many a machine.
-    spread_over: usize,
+    min_machines: usize,
     /// Machines without which a job that has waited for long never finds room beside lasting work.
     missing: usize,
     /// That job.
@@ -56,7 +56,7 @@
 impl Pool {
     pub(super) fn needed(&self) -> usize {
         let for_need = self.need_millicores.div_ceil(self.machine.cpu_millicores.max(1)) as usize;
-        for_need.max(self.spread_over)
+        for_need.max(self.min_machines)
     }
 
     pub(super) fn holds(&self) -> usize {
@@ -75,14 +75,14 @@
 
     /// Machines with each label that are missing.
     pub(super) fn lacks_by_label(&self) -> impl Iterator<Item = (&Label, usize)> {
-        self.labels.iter().map(|(label, need)| (label, need.lacks(&self.machine)))
+        self.labels.iter().map(|(label, need)| (label, need.missing_machines(&self.machine)))
     }
 
     /// Whether a machine with these labels can go without one of them missing: each label that is asked
     /// for keeps a machine, and as many as its tasks need.
     pub(super) fn can_spare(&self, labels: &[Label]) -> bool {
         labels.iter().filter_map(|label| self.labels.get(label)).all(|need| {
-            let left_tasks = need.room_tasks.saturating_sub(need.tasks_of(&self.machine));
+            let left_tasks = need.tasks_with_room.saturating_sub(need.tasks_fitting(&self.machine));
             need.machines > 1 && left_tasks >= need.waiting
         })
     }
@@ -98,7 +98,8 @@
         for label in labels {
             if let Some(need) = self.labels.get_mut(label) {
                 need.machines = need.machines.saturating_sub(1);
-                need.room_tasks = need.room_tasks.saturating_sub(need.tasks_of(&self.machine));
+                need.tasks_with_room =
+                    need.tasks_with_room.saturating_sub(need.tasks_fitting(&self.machine));
             }
         }
     }
@@ -115,7 +116,8 @@
         for label in labels {
             if let Some(need) = self.labels.get_mut(label) {
                 need.machines += 1;
-                need.room_tasks = need.room_tasks.saturating_add(need.tasks_of(room));
+                need.tasks_with_room =
+                    need.tasks_with_room.saturating_add(need.tasks_fitting(room));
             }
         }
     }
@@ -300,8 +302,8 @@
                     least_millicores = least_millicores.max(least_room(job));
                     continue;
                 }
-                let spread = job.startable.iter().map(|&index| spread_over(job.step(index)));
-                pool.spread_over = pool.spread_over.max(spread.max().unwrap_or(0));
+                let spread = job.startable.iter().map(|&index| min_machines(job.step(index)));
+                pool.min_machines = pool.min_machines.max(spread.max().unwrap_or(0));
                 let waiting = job.startable.iter().map(|&index| job.step(index).booked());
                 let millicores = waiting.map(|need| need.cpu_millicores).sum::<u64>();
                 pool.need_millicores += headroom.take(job.account.as_ref(), millicores);
@@ -313,7 +315,7 @@
 }
 
 /// Machines that a lasting step can't do without; none if it doesn't say.
-fn spread_over(step: &StepSpec) -> usize {
+fn min_machines(step: &StepSpec) -> usize {
     let is_bounded = step.is_long_running && step.max_per_executor > 0;
     if is_bounded { step.count.div_ceil(step.max_per_executor) as usize } else { 0 }
 }
--- a/crates/jackdawpier_fleet/src/fleet/pools.rs
+++ b/crates/jackdawpier_fleet/src/fleet/pools.rs
@@ -51,12 +51,12 @@
         let mut standby = self.idle_standby(now);
         let share = self.kept_share(&pools);
         self.shortages = shortages_of(&pools, &self.scarce_labels());
-        self.note_label_lacks(now);
+        self.track_label_shortages(now);
         for shortage in self.shortages.clone() {
             for _ in 0..shortage.lacks {
                 let found = self.find_machine(now, &shortage, &mut pools, &mut standby, share);
                 let Some(machine) = found else {
-                    self.begin_clearing(now, &shortage, &pools);
+                    self.begin_defragmentation(now, &shortage, &pools);
                     break;
                 };
                 self.begin_errand(now, machine, MachineWork::Move(shortage.pool.clone()));
@@ -94,7 +94,7 @@
         if let Some(place) = standby.iter().position(fits) {
             return Some(standby.swap_remove(place));
         }
-        let machine = self.machine_to_free(now, pools, shortage, label.as_ref()?)?;
+        let machine = self.machine_to_reclaim(now, pools, shortage, label.as_ref()?)?;
         let labels = self.labels_of(&machine);
         let from = self.machines.listed.get(&machine).map(|info| &info.pool);
         from.and_then(|from| pools.get_mut(from))?.take_labels(labels);
--- a/crates/jackdawpier_fleet/src/fleet/crash_scenes.rs
+++ b/crates/jackdawpier_fleet/src/fleet/recent_crashes.rs
@@ -17,7 +17,7 @@
 
 /// A crash of an executor.
 #[derive(Debug)]
-pub(super) struct CrashScene {
+pub(super) struct ExecutorCrash {
     pub(super) at: Now,
     pub(super) service: Option<ServiceName>,
     /// A task was watched there, which is the likely cause.
@@ -28,48 +28,48 @@
     pub(super) present: Vec<Present>,
 }
 
-impl CrashScene {
-    pub(super) fn has(&self, task: &TaskRef) -> bool {
+impl ExecutorCrash {
+    pub(super) fn involves(&self, task: &TaskRef) -> bool {
         self.present.iter().any(|(one, _)| one == task)
     }
 }
 
 /// The last crashes that aren't explained yet.
 #[derive(Debug, Default)]
-pub(super) struct CrashScenes(VecDeque<CrashScene>);
+pub(super) struct RecentCrashes(VecDeque<ExecutorCrash>);
 
-impl CrashScenes {
-    pub(super) fn note(&mut self, scene: CrashScene) {
+impl RecentCrashes {
+    pub(super) fn note(&mut self, crash: ExecutorCrash) {
         if self.0.len() == REMEMBERED {
             self.0.pop_front();
         }
-        self.0.push_back(scene);
+        self.0.push_back(crash);
     }
 
     /// Runs that were there when a task's executors crashed, other than its own.
     fn beside(&mut self, cause: &TaskRef) -> Vec<Present> {
         let (of_cause, others): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.0).into_iter().partition(|scene| scene.has(cause));
+            std::mem::take(&mut self.0).into_iter().partition(|crash| crash.involves(cause));
         self.0 = others.into();
         let mut beside: Vec<Present> =
-            of_cause.into_iter().flat_map(|scene| scene.present).collect();
+            of_cause.into_iter().flat_map(|crash| crash.present).collect();
         beside.retain(|(task, _)| task != cause);
         beside
     }
 
     /// Crashes that may be accidents, the last one first.
-    pub(super) fn accidents(&self) -> impl Iterator<Item = &CrashScene> {
-        self.0.iter().rev().filter(|scene| !scene.is_watched)
+    pub(super) fn not_isolated(&self) -> impl Iterator<Item = &ExecutorCrash> {
+        self.0.iter().rev().filter(|crash| !crash.is_watched)
     }
 }
 
 impl Fleet {
     /// Clears all others that were there of the crashes that a task has caused.
-    pub(super) fn clear_beside(&mut self, cause: &TaskRef) {
+    pub(super) fn clear_co_located_crashes(&mut self, cause: &TaskRef) {
         if !self.settings.policy.explains_crashes {
             return;
         }
-        for (task, run) in self.crash_scenes.beside(cause) {
+        for (task, run) in self.recent_crashes.beside(cause) {
             let job = self.jobs.get_mut(&task.0).filter(|job| !job.is_over());
             if job.is_some_and(|job| job.tasks[task.1].explain_crash(run)) {
                 self.touch(&task.0);
--- a/crates/jackdawpier_fleet/src/fleet/reports.rs
+++ b/crates/jackdawpier_fleet/src/fleet/reports.rs
@@ -5,7 +5,8 @@
 use jackdawpier_kernel::{Now, ids::ExecutorId};
 
 use super::{
-    Command, Fleet, FleetSettings, StopReason, lives::Life, runs::TaskEnd, stops::MAX_STOP_DELAY,
+    Command, Fleet, FleetSettings, StopReason, incarnations::ReportOrigin, runs::TaskEnd,
+    stops::MAX_STOP_DELAY,
 };
 use crate::{
     executor::{EndKind, EndedTask, HoldReport, LastSigns, MAX_ENDS_PER_REPORT, TaskRef},
@@ -76,11 +77,11 @@
     /// An executor has answered a hold that was sent at `sent_at`.
     pub fn hold_answered(&mut self, now: Now, sent_at: Now, id: &ExecutorId, report: &HoldReport) {
         let Some(executor) = self.executors.get_mut(id) else { return };
-        let life = executor.life_of(report);
+        let life = executor.report_origin(report);
         match life {
-            Life::Same => {}
-            Life::Former => return,
-            Life::New(life) => executor.begin_life(now, life),
+            ReportOrigin::Current => {}
+            ReportOrigin::Previous => return,
+            ReportOrigin::New(life) => executor.begin_life(now, life),
         }
         let FleetSettings { lease, longest_lease, .. } = self.settings;
         executor.heard(now, report.clock, lease, longest_lease);
@@ -89,8 +90,8 @@
         for end in report.ended.iter().filter(|end| end.sequence > seen) {
             self.end_reported(now, id, end);
         }
-        if matches!(life, Life::New(_)) {
-            self.settle_former_life(now, sent_at, id, report);
+        if matches!(life, ReportOrigin::New(_)) {
+            self.settle_previous_incarnation(now, sent_at, id, report);
         }
         self.runs_reported(now, sent_at, id, report, is_whole);
         if is_whole && let Some(executor) = self.executors.get_mut(id) {
@@ -117,7 +118,7 @@
     fn apply_end(&mut self, now: Now, id: &ExecutorId, end: &EndedTask) {
         let Some(job) = self.jobs.get_mut(&end.task.job) else {
             // Which of its runs counted isn't known any more.
-            let ended = self.ended_before.get(&end.task.job);
+            let ended = self.inherited_ended_jobs.get(&end.task.job);
             if end.how == EndKind::Done && ended.is_some_and(|one| one.has_rerun) {
                 self.freeze(id);
             }
@@ -265,7 +266,7 @@
                 }
             }
         }
-        self.clear_living(id, present.keys());
+        self.clear_stable_tasks(id, present.keys());
         if is_whole {
             self.absences_reported(now, sent_at, id, &present);
         }
--- a/crates/jackdawpier_fleet/src/fleet/held_room.rs
+++ b/crates/jackdawpier_fleet/src/fleet/reservations.rs
@@ -72,13 +72,13 @@
             }
             if !self.place_job(now, &id, openings, 1) {
                 openings.starved_misses += 1;
-                self.hold_room(now, &id, openings);
+                self.reserve_executors(now, &id, openings);
             }
         }
     }
 
     /// Keeps executors free for a job that found no room, one job at a time for each service.
-    pub(super) fn hold_room(&mut self, now: Now, id: &JobId, openings: &mut Openings) {
+    pub(super) fn reserve_executors(&mut self, now: Now, id: &JobId, openings: &mut Openings) {
         if openings.has_held || !self.settings.policy.holds_room {
             return;
         }
--- a/crates/jackdawpier_fleet/src/fleet/runs.rs
+++ b/crates/jackdawpier_fleet/src/fleet/runs.rs
@@ -106,8 +106,8 @@
         match job.retry(task_ref.1) {
             Retry::AtOnce if is_open => job.wait(now, task_ref.1),
             Retry::AtOnce => {}
-            Retry::After(pause) => self.hold_back(now, task_ref, Some(pause)),
-            Retry::Never => self.hold_back(now, task_ref, None),
+            Retry::After(pause) => self.back_off(now, task_ref, Some(pause)),
+            Retry::Never => self.back_off(now, task_ref, None),
         }
         self.stop_members(now, task_ref);
     }
--- a/crates/jackdawpier_fleet/src/fleet/trials.rs
+++ b/crates/jackdawpier_fleet/src/fleet/trials.rs
@@ -6,7 +6,7 @@
 
 use jackdawpier_kernel::Now;
 
-use super::{Fleet, crash_scenes::CrashScene};
+use super::{Fleet, recent_crashes::ExecutorCrash};
 use crate::{
     crash::has_failed_trial,
     executor::{Executor, TaskRef},
@@ -25,9 +25,9 @@
     /// that one hits is spent for nothing.
     pub(super) fn is_calm(&self, now: Now, job: &Job, index: TaskIndex) -> bool {
         let service = self.service_of(&job.id);
-        let mut accidents = self.crash_scenes.accidents();
-        let last = accidents.find(|scene| scene.service.as_ref() == service);
-        let since = last.map_or(self.started_at, |scene| scene.at);
+        let mut not_isolated = self.recent_crashes.not_isolated();
+        let last = not_isolated.find(|crash| crash.service.as_ref() == service);
+        let since = last.map_or(self.started_at, |crash| crash.at);
         now >= since + CALM_FOR || now >= job.tasks[index].waits_since + CALM_AWAITED
     }
 
@@ -36,10 +36,10 @@
     pub(super) fn has_accidents_without(&self, now: Now, task_ref: &TaskRef) -> bool {
         let Some(task) = self.task(task_ref) else { return false };
         let has_failed_trial = has_failed_trial(task.crashes());
-        let is_recent = |scene: &&CrashScene| now.saturating_sub(scene.at) < ACCIDENTS_WITHIN;
-        let counts = |scene: &CrashScene| scene.is_spontaneous || !has_failed_trial;
-        let mut recent = self.crash_scenes.accidents().take_while(is_recent);
-        recent.any(|scene| counts(scene) && !scene.has(task_ref))
+        let is_recent = |crash: &&ExecutorCrash| now.saturating_sub(crash.at) < ACCIDENTS_WITHIN;
+        let counts = |crash: &ExecutorCrash| crash.is_spontaneous || !has_failed_trial;
+        let mut recent = self.recent_crashes.not_isolated().take_while(is_recent);
+        recent.any(|crash| counts(crash) && !crash.involves(task_ref))
     }
 
     /// Whether the task that is watched on an executor is on trial.
--- a/crates/jackdawpier_fleet/tests/lost_executors.rs
+++ b/crates/jackdawpier_fleet/tests/lost_executors.rs
@@ -178,7 +178,7 @@
     let gone = world.executor_of("m-view-0");
     world.crash("m-view-0", Some(Duration::from_secs(2)));
     world.run_for(Duration::from_millis(500));
-    let losses = world.fleet.take_losses();
+    let losses = world.fleet.take_executor_losses();
     assert_eq!(losses.len(), 1);
     assert_eq!((&losses[0].executor, losses[0].evidence), (&gone, LossEvidence::Unlisted));
     let run = &losses[0].runs[0];
--- a/crates/jackdawpier_fleet/tests/world/lasting.rs
+++ b/crates/jackdawpier_fleet/tests/world/lasting.rs
@@ -7,7 +7,7 @@
 };
 
 use jackdawpier_fleet::{
-    fleet::Pause,
+    fleet::CrashBackoff,
     spec::{StepSpec, TaskKey},
 };
 
@@ -25,7 +25,7 @@
     /// How long tasks weren't at work between two times at which they were.
     pub gaps: Vec<(TaskKey, Duration)>,
     /// Tasks that were held back.
-    pub pauses: Vec<Pause>,
+    pub pauses: Vec<CrashBackoff>,
 }
 
 impl World {
--- a/crates/jackdawpier_fleet/tests/world/mod.rs
+++ b/crates/jackdawpier_fleet/tests/world/mod.rs
@@ -314,7 +314,7 @@
             if let Some((record, _)) = &written
                 && record.outcome.is_some()
             {
-                self.fleet.recover_over(self.now, wall_ms, id.clone(), record);
+                self.fleet.recover_ended_job(self.now, wall_ms, id.clone(), record);
                 continue;
             }
             let (id, submission) = (id.clone(), submission.clone());
@@ -399,7 +399,7 @@
             .executors
             .values()
             .filter(|executor| executor.is_listed(now) && is_readable(&executor.info.id));
-        self.fleet.list_executors(now, listed.map(|executor| executor.info.clone()).collect());
+        self.fleet.replace_executors(now, listed.map(|executor| executor.info.clone()).collect());
         let machines = self.machines.iter().map(|(id, machine)| MachineInfo {
             id: id.clone(),
             pool: machine.pool.clone(),
@@ -456,13 +456,19 @@
     }
 
     fn carry_out(&mut self) {
-        let blames = self.fleet.take_blames();
-        let pauses = self.fleet.take_pauses();
+        let task_crashes = self.fleet.take_task_crashes();
+        let pauses = self.fleet.take_crash_backoffs();
         if std::env::var("TRACE").is_ok() {
-            blames.iter().for_each(|blame| println!("{:?} {blame:?}", self.now));
-            self.fleet.take_losses().iter().for_each(|one| println!("{:?} {one:?}", self.now));
+            task_crashes.iter().for_each(|blame| println!("{:?} {blame:?}", self.now));
+            self.fleet
+                .take_executor_losses()
+                .iter()
+                .for_each(|one| println!("{:?} {one:?}", self.now));
             pauses.iter().for_each(|pause| println!("{:?} {pause:?}", self.now));
-            self.fleet.take_given_up().iter().for_each(|one| println!("{:?} {one:?}", self.now));
+            self.fleet
+                .take_given_up_tasks()
+                .iter()
+                .for_each(|one| println!("{:?} {one:?}", self.now));
         }
         self.lasting.pauses.extend(pauses);
         for command in self.fleet.take_commands() {
