--- a/crates/jackdawpier_fleet/src/fleet.rs
+++ b/crates/jackdawpier_fleet/src/fleet.rs
@@ -18,18 +18,18 @@
 mod label_shares;
 mod losses;
 mod maintenance;
-mod openings;
 mod pacing;
 mod placement;
+mod placement_round;
 mod pool_view;
 mod pools;
+mod probation;
 mod recent_crashes;
 mod reports;
 mod reservations;
 mod runs;
 mod starts;
 mod stops;
-mod trials;
 mod vacating;
 mod waits;
 
@@ -123,14 +123,14 @@
     accounts: Accounts,
     jobs: Table<JobId, Job>,
     /// Jobs that aren't over, by queue.
-    open: BTreeMap<QueueName, BTreeSet<JobId>>,
+    open_jobs: BTreeMap<QueueName, BTreeSet<JobId>>,
     /// Repeated jobs with occurrences to come.
     scheduled: BTreeSet<JobId>,
     executors: Table<ExecutorId, Executor>,
     by_service: BTreeMap<ServiceName, Vec<ExecutorId>>,
-    dirty: VecDeque<JobId>,
+    changed_jobs: VecDeque<JobId>,
     /// Jobs that are over, with the time since when.
-    over: VecDeque<(JobId, Now)>,
+    ended_jobs: VecDeque<(JobId, Now)>,
     /// Those that an earlier owner ended.
     inherited_ended_jobs: BTreeMap<JobId, InheritedEndedJob>,
     advice: BTreeMap<(JobId, usize), Advice>,
@@ -143,16 +143,16 @@
     recent_crashes: RecentCrashes,
     defragmentations: Defragmentations,
     /// Executors of which more ends have become durable.
-    settled: Vec<ExecutorId>,
+    acknowledgeable: Vec<ExecutorId>,
     machines: Machines,
-    machines_planned_at: Now,
-    expired_at: Now,
+    last_machine_planning_at: Now,
+    last_expiry_at: Now,
     shortages: Vec<Shortage>,
     /// Since when pools lack machines with a label.
     label_shortages_since: BTreeMap<(PoolName, Label), Now>,
     arrivals: BTreeMap<ServiceName, Arrivals>,
     /// Labels that jobs have asked for in this term.
-    asked_labels: BTreeSet<Label>,
+    requested_labels: BTreeSet<Label>,
     next_batch: u64,
     executors_tried: u64,
     wave_machines_counted: u64,
@@ -171,12 +171,12 @@
             services: BTreeMap::new(),
             accounts: Accounts::default(),
             jobs: Table::default(),
-            open: BTreeMap::new(),
+            open_jobs: BTreeMap::new(),
             scheduled: BTreeSet::new(),
             executors: Table::default(),
             by_service: BTreeMap::new(),
-            dirty: VecDeque::new(),
-            over: VecDeque::new(),
+            changed_jobs: VecDeque::new(),
+            ended_jobs: VecDeque::new(),
             inherited_ended_jobs: BTreeMap::new(),
             advice: BTreeMap::new(),
             commands: Vec::new(),
@@ -187,13 +187,13 @@
             crash_backoffs: CrashBackoffs::default(),
             recent_crashes: RecentCrashes::default(),
             defragmentations: Defragmentations::default(),
-            settled: Vec::new(),
-            machines_planned_at: Now::ZERO,
-            expired_at: Now::ZERO,
+            acknowledgeable: Vec::new(),
+            last_machine_planning_at: Now::ZERO,
+            last_expiry_at: Now::ZERO,
             shortages: Vec::new(),
             label_shortages_since: BTreeMap::new(),
             arrivals: BTreeMap::new(),
-            asked_labels: BTreeSet::new(),
+            requested_labels: BTreeSet::new(),
             next_batch: 0,
             executors_tried: 0,
             wave_machines_counted: 0,
@@ -223,7 +223,7 @@
             return;
         }
         job.is_cancelled = true;
-        self.finish(now, &id.clone(), JobOutcome::Cancelled);
+        self.finish_job(now, &id.clone(), JobOutcome::Cancelled);
     }
 
     /// What a caller is told of a job; none if it isn't known here.
@@ -254,7 +254,7 @@
         let count = |ids: &BTreeSet<JobId>| {
             ids.iter().filter(|id| self.jobs.get(*id).is_some_and(|job| !job.has_begun)).count()
         };
-        self.open.iter().map(|(queue, ids)| (queue.clone(), count(ids) as u64)).collect()
+        self.open_jobs.iter().map(|(queue, ids)| (queue.clone(), count(ids) as u64)).collect()
     }
 
     /// Machines of waves that have been looked at so far to count those that are away.
@@ -307,23 +307,23 @@
     }
 
     /// Marks a job's durable state as changed.
-    fn touch(&mut self, id: &JobId) {
+    fn mark_changed(&mut self, id: &JobId) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.changes += 1;
         if !job.is_dirty {
             job.is_dirty = true;
-            self.dirty.push_back(id.clone());
+            self.changed_jobs.push_back(id.clone());
         }
     }
 
     /// Forgets jobs that ended over `retention` ago and returns them, for the store to follow.
     pub fn forget_jobs(&mut self, now: Now, retention: Duration) -> Vec<JobId> {
         let mut forgotten = Vec::new();
-        while let Some((_, over_at)) = self.over.front() {
+        while let Some((_, over_at)) = self.ended_jobs.front() {
             if now.saturating_sub(*over_at) < retention {
                 break;
             }
-            let (id, _) = self.over.pop_front().expect("the front was just read");
+            let (id, _) = self.ended_jobs.pop_front().expect("the front was just read");
             self.jobs.remove(&id);
             self.inherited_ended_jobs.remove(&id);
             forgotten.push(id);
--- a/crates/jackdawpier_fleet/src/fleet/commits.rs
+++ b/crates/jackdawpier_fleet/src/fleet/commits.rs
@@ -77,7 +77,7 @@
         let mut rows = 0;
         let mut later = Vec::new();
         while rows + MOST_ROWS_PER_JOB <= most_rows {
-            let Some(id) = self.dirty.pop_front() else { break };
+            let Some(id) = self.changed_jobs.pop_front() else { break };
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             if job.is_writing {
                 later.push(id);
@@ -96,7 +96,7 @@
             rows += changed.rows();
             jobs.push(changed);
         }
-        self.dirty.extend(later);
+        self.changed_jobs.extend(later);
         if jobs.is_empty() {
             return None;
         }
@@ -106,7 +106,7 @@
 
     /// Whether something waits to be written.
     pub fn has_changes(&self) -> bool {
-        self.dirty.iter().any(|id| self.jobs.get(id).is_some_and(|job| !job.is_writing))
+        self.changed_jobs.iter().any(|id| self.jobs.get(id).is_some_and(|job| !job.is_writing))
     }
 
     /// A batch is durable at these revisions, one a record: its placements may be ordered, its ends
@@ -119,7 +119,7 @@
             job.revision = revision;
             job.durable_changes = written.changes;
             let settled = job.unsettled.extract_if(.., |(needed, _)| *needed <= written.changes);
-            self.settled.extend(settled.map(|(_, executor)| executor));
+            self.acknowledgeable.extend(settled.map(|(_, executor)| executor));
             if let Some(outcome) = record.outcome {
                 let is_news = job.shown.replace(outcome).is_none();
                 if is_news {
@@ -154,7 +154,7 @@
     /// Executors of which more ends have become durable since the last call, so that more of them may be
     /// acknowledged. One may be named several times.
     pub fn take_acknowledgeable(&mut self) -> Vec<ExecutorId> {
-        std::mem::take(&mut self.settled)
+        std::mem::take(&mut self.acknowledgeable)
     }
 
     fn order_starts(&mut self, now: Now, id: &JobId, record: &JobRecord) {
@@ -194,7 +194,7 @@
             job.is_writing = false;
             if !job.is_dirty {
                 job.is_dirty = true;
-                self.dirty.push_back(written.job.clone());
+                self.changed_jobs.push_back(written.job.clone());
             }
         }
     }
--- a/crates/jackdawpier_fleet/src/fleet/crash_attribution.rs
+++ b/crates/jackdawpier_fleet/src/fleet/crash_attribution.rs
@@ -9,7 +9,9 @@
     ids::{ExecutorId, JobId},
 };
 
-use super::{Fleet, openings::Openings, placement::suits, recent_crashes::ExecutorCrash};
+use super::{
+    Fleet, placement::has_room_for, placement_round::PlacementRound, recent_crashes::ExecutorCrash,
+};
 use crate::{
     crash::{Crash, Lived},
     executor::{Executor, LastSigns, TaskRef, Watch},
@@ -159,7 +161,7 @@
         }
         let (run, crashes) = (task.run, task.crashes().len());
         // The run may not be over for this owner yet, and the next one has to know.
-        self.touch(&task_ref.0);
+        self.mark_changed(&task_ref.0);
         self.task_crashes.push(TaskCrash {
             task: task_key,
             run,
@@ -190,7 +192,7 @@
     fn clear_crashes(&mut self, task_ref: &TaskRef) {
         let job = self.jobs.get_mut(&task_ref.0);
         if job.is_some_and(|job| job.tasks[task_ref.1].clear_crashes()) {
-            self.touch(&task_ref.0);
+            self.mark_changed(&task_ref.0);
         }
     }
 
@@ -223,7 +225,7 @@
         index: TaskIndex,
     ) -> bool {
         let is_fresh = executor.answered_at + ALIVE_BEFORE_ORDER >= now;
-        let may_try = !job.is_on_trial(index) || self.is_calm(now, job, index);
+        let may_try = !job.is_on_trial(index) || self.may_start_probation(now, job, index);
         let may_watch = is_fresh && executor.has_survived_watch() && may_try;
         may_watch && self.newcomers(executor, job, index) == 0
     }
@@ -252,23 +254,23 @@
         now: Now,
         id: &JobId,
         index: TaskIndex,
-        openings: &mut Openings,
+        round: &mut PlacementRound,
     ) {
         let job = &self.jobs[id];
-        if !job.step(index).is_long_running || openings.quieted >= QUIETED_AT_ONCE {
+        if !job.step(index).is_long_running || round.reserved_for_suspects >= QUIETED_AT_ONCE {
             return;
         }
-        let quietest = openings
+        let quietest = round
             .executors
             .iter()
             .filter_map(|id| Some((id, self.executors.get(id)?)))
-            .filter(|(_, executor)| suits(executor, job, index, None))
+            .filter(|(_, executor)| has_room_for(executor, job, index, None))
             .filter(|(_, executor)| !executor.is_watching(now))
             .min_by_key(|(id, executor)| (self.newcomers(executor, job, index), *id))
             .map(|(id, _)| id.clone());
         if let Some(quietest) = quietest {
-            openings.executors.retain(|id| *id != quietest);
-            openings.quieted += 1;
+            round.executors.retain(|id| *id != quietest);
+            round.reserved_for_suspects += 1;
         }
     }
 
@@ -297,9 +299,9 @@
         job.tasks[task_ref.1].is_given_up = true;
         self.clear_co_located_crashes(task_ref);
         if given_up.job_goes_on {
-            self.touch(&task_ref.0);
+            self.mark_changed(&task_ref.0);
         } else {
-            self.finish(now, &task_ref.0, JobOutcome::Failed);
+            self.finish_job(now, &task_ref.0, JobOutcome::Failed);
         }
         self.given_up.push(given_up);
     }
--- a/crates/jackdawpier_fleet/src/fleet/crash_backoff.rs
+++ b/crates/jackdawpier_fleet/src/fleet/crash_backoff.rs
@@ -84,7 +84,8 @@
         let (due, rest): (Vec<Held>, Vec<Held>) =
             std::mem::take(&mut self.crash_backoffs.tasks).into_iter().partition(|held| {
                 let is_short = now >= held.short_until;
-                now >= held.until || (is_short && self.has_accidents_without(now, &held.task))
+                now >= held.until
+                    || (is_short && self.has_unattributed_crashes_without(now, &held.task))
             });
         self.crash_backoffs.tasks = rest;
         for Held { task: (id, index), .. } in due {
--- a/crates/jackdawpier_fleet/src/fleet/defragmentation.rs
+++ b/crates/jackdawpier_fleet/src/fleet/defragmentation.rs
@@ -15,8 +15,8 @@
 };
 
 use super::{
-    Fleet, Shortage, StopReason, defragmentation_plan::Relocation, openings::Openings,
-    pool_view::Pool,
+    Fleet, Shortage, StopReason, defragmentation_plan::Relocation, placement_round::PlacementRound,
+    pool_view::PoolView,
 };
 use crate::{
     executor::{Executor, TaskRef},
@@ -51,7 +51,7 @@
         &mut self,
         now: Now,
         shortage: &Shortage,
-        pools: &BTreeMap<PoolName, Pool>,
+        pools: &BTreeMap<PoolName, PoolView>,
     ) {
         let service = &shortage.pool;
         let is_early = self.defragmentations.not_before.get(service).is_some_and(|at| now < *at);
@@ -65,9 +65,9 @@
             return;
         }
         self.defragmentations.not_before.insert(service.clone(), now + TRY_AGAIN_AFTER);
-        let openings = self.openings(now);
-        let Some(openings) = openings.get(service) else { return };
-        let Some(plan) = self.plan_defragmentation(now, &stuck.task, &openings.executors) else {
+        let rounds = self.start_rounds(now);
+        let Some(round) = rounds.get(service) else { return };
+        let Some(plan) = self.plan_defragmentation(now, &stuck.task, &round.executors) else {
             return;
         };
         let (task, until) = (stuck.task.clone(), now + KEPT_FOR);
@@ -80,25 +80,25 @@
     pub(super) fn continue_defragmentations(
         &mut self,
         now: Now,
-        openings: &mut BTreeMap<ServiceName, Openings>,
+        rounds: &mut BTreeMap<ServiceName, PlacementRound>,
     ) {
         for (service, defragmentation) in std::mem::take(&mut self.defragmentations.open) {
-            let Some(openings) = openings.get_mut(&service) else { continue };
+            let Some(round) = rounds.get_mut(&service) else { continue };
             if !self.is_of_use(now, &defragmentation) {
                 continue;
             }
             defragmentation
                 .relocations
                 .iter()
-                .for_each(|relocation| self.go_on_relocating(now, relocation, openings));
+                .for_each(|relocation| self.go_on_relocating(now, relocation, round));
             let is_placed = !self.is_relocating(&defragmentation)
-                && self.place_job(now, &defragmentation.task.0, openings, 1)
+                && self.place_job(now, &defragmentation.task.0, round, 1)
                 && !self.waits(&defragmentation.task);
             if is_placed {
                 continue;
             }
-            openings.executors.retain(|id| !defragmentation.kept.contains(id));
-            openings.has_held = true;
+            round.executors.retain(|id| !defragmentation.kept.contains(id));
+            round.has_held = true;
             self.defragmentations.open.insert(service, defragmentation);
         }
     }
@@ -106,7 +106,7 @@
     /// Whether the task still waits, and the executors may yet be free for it.
     fn is_of_use(&self, now: Now, defragmentation: &Defragmentation) -> bool {
         let may_be_free = |id: &ExecutorId| {
-            self.executors.get(id).is_some_and(Executor::stays)
+            self.executors.get(id).is_some_and(Executor::is_usable)
                 && !self.machines.vacating().any(|leaving| leaving == id)
         };
         now < defragmentation.until
@@ -124,11 +124,11 @@
     }
 
     /// Stops a task once its step can spare it and there is room where it goes, and starts it there.
-    fn go_on_relocating(&mut self, now: Now, relocation: &Relocation, openings: &Openings) {
+    fn go_on_relocating(&mut self, now: Now, relocation: &Relocation, round: &PlacementRound) {
         let Relocation { task, from, to } = relocation;
         let Some(job) = self.jobs.get(&task.0) else { return };
         let Some(target) = self.executors.get(to) else { return };
-        if !openings.executors.contains(to) || !self.has_room_for_relocated(now, task, target) {
+        if !round.executors.contains(to) || !self.has_room_for_relocated(now, task, target) {
             return;
         }
         let phase = &job.tasks[task.1].phase;
@@ -146,16 +146,16 @@
         let job = &self.jobs[id];
         let may_miss = job.step(*index).may_miss.max(1);
         let is_watching = self.executors.get(from).is_some_and(|one| one.is_watching(now));
-        !is_watching && self.away_of(now, job, job.slot(*index)) < may_miss
+        !is_watching && self.tasks_away(now, job, job.slot(*index)) < may_miss
     }
 
     fn start_relocated(&mut self, (id, index): &TaskRef, to: &ExecutorId) {
         if !self.is_within_cap(&self.jobs[id], *index) {
             return;
         }
-        self.plan(id, *index, to.clone());
+        self.assign(id, *index, to.clone());
         let job = self.jobs.get_mut(id).expect("it was read above");
         job.startable.retain(|one| one != index);
-        self.touch(id);
+        self.mark_changed(id);
     }
 }
--- a/crates/jackdawpier_fleet/src/fleet/defragmentation_plan.rs
+++ b/crates/jackdawpier_fleet/src/fleet/defragmentation_plan.rs
@@ -8,8 +8,8 @@
 
 use super::{
     Fleet,
-    placement::{fitting, may_run, tasks_here},
-    pool_view::together,
+    placement::{count_fitting, is_eligible, step_tasks_on},
+    pool_view::start_group_size,
 };
 use crate::{
     executor::{Executor, TaskRef},
@@ -95,7 +95,7 @@
     ) -> Option<DefragmentationPlan> {
         let job = self.jobs.get(id)?;
         let step = job.step(*index);
-        let (need, wanted) = (step.booked(), together(step));
+        let (need, wanted) = (step.booked(), start_group_size(step));
         let mut candidates: Vec<Candidate> =
             executors.iter().filter_map(|one| self.candidate(now, one, job, *index)).collect();
         let mut relocations = Vec::new();
@@ -131,8 +131,8 @@
         movable.sort_by_key(|(size, _)| size.cpu_millicores);
         Some(Candidate {
             id: id.clone(),
-            room: self.room_beside_lasting(executor),
-            most: fitting(executor, job, index, &Resources::MAX),
+            room: self.room_beside_long_running(executor),
+            most: count_fitting(executor, job, index, &Resources::MAX),
             movable,
         })
     }
@@ -223,14 +223,14 @@
         };
         let coming = relocations.iter().filter(is_alike).count() as u32;
         let most = job.step(*index).max_per_executor;
-        may_run(executor, job, *index)
-            && (most == 0 || tasks_here(executor, job, *index) + coming < most)
+        is_eligible(executor, job, *index)
+            && (most == 0 || step_tasks_on(executor, job, *index) + coming < most)
     }
 
     /// Whether an executor has room for a task that is to move there now.
     pub(super) fn has_room_for_relocated(&self, now: Now, task: &TaskRef, to: &Executor) -> bool {
         let job = &self.jobs[&task.0];
-        !to.is_watching(now) && super::placement::suits(to, job, task.1, None)
+        !to.is_watching(now) && super::placement::has_room_for(to, job, task.1, None)
     }
 }
 
--- a/crates/jackdawpier_fleet/src/fleet/executors.rs
+++ b/crates/jackdawpier_fleet/src/fleet/executors.rs
@@ -74,8 +74,8 @@
 
     /// Ends the executors that can't run anything any more, if that was last looked at a while ago.
     pub(super) fn expire_executors_if_due(&mut self, now: Now) {
-        if now >= self.expired_at + EXPIRE_INTERVAL {
-            self.expired_at = now;
+        if now >= self.last_expiry_at + EXPIRE_INTERVAL {
+            self.last_expiry_at = now;
             self.expire_executors(now);
         }
     }
--- a/crates/jackdawpier_fleet/src/fleet/gangs.rs
+++ b/crates/jackdawpier_fleet/src/fleet/gangs.rs
@@ -4,8 +4,8 @@
 
 use super::{
     Fleet, StopReason,
-    openings::Openings,
-    runs::{book, unbook},
+    placement_round::PlacementRound,
+    runs::{allocate, release},
 };
 use crate::{
     executor::TaskRef,
@@ -54,7 +54,7 @@
         now: Now,
         id: &JobId,
         slot: usize,
-        openings: &Openings,
+        round: &PlacementRound,
     ) -> bool {
         let Some(job) = self.jobs.get(id) else { return false };
         let members: Vec<TaskIndex> = job.tasks_of(slot).collect();
@@ -69,11 +69,11 @@
         for rack in tries {
             let mut placed = Vec::new();
             for &index in &members {
-                let chosen = self.choose(now, id, index, rack.as_deref(), openings);
+                let chosen = self.choose_executor(now, id, index, rack.as_deref(), round);
                 let Some(executor) = chosen else { break };
                 let job = &self.jobs[id];
                 let member = self.executors.get_mut(&executor).expect("just chosen");
-                book(member, &mut self.accounts, job, index);
+                allocate(member, &mut self.accounts, job, index);
                 placed.push((index, executor));
             }
             if placed.len() == members.len() {
@@ -83,7 +83,7 @@
             for (index, executor) in placed {
                 let job = &self.jobs[id];
                 let member = self.executors.get_mut(&executor).expect("just booked");
-                unbook(member, &mut self.accounts, job, index);
+                release(member, &mut self.accounts, job, index);
             }
         }
         false
@@ -115,7 +115,7 @@
         let job = self.jobs.get_mut(id).expect("the caller has just read it");
         let is_placed = |index: &TaskIndex| placed.iter().any(|(one, _)| one == index);
         job.startable.retain(|index| !is_placed(index));
-        self.touch(id);
+        self.mark_changed(id);
     }
 
     fn racks_of(&self, id: &JobId) -> Vec<std::sync::Arc<str>> {
--- a/crates/jackdawpier_fleet/src/fleet/incarnations.rs
+++ b/crates/jackdawpier_fleet/src/fleet/incarnations.rs
@@ -71,7 +71,7 @@
         let Some(job) = self.jobs.get_mut(&task_ref.0) else { return };
         let task = &mut job.tasks[task_ref.1];
         match &mut task.phase {
-            Phase::Running { since, .. } if *since < sent_at => self.run_over(now, task_ref, None),
+            Phase::Running { since, .. } if *since < sent_at => self.end_run(now, task_ref, None),
             Phase::Starting { .. } => {
                 self.stop_task(now, task_ref, StopReason::ExecutorRestarted);
             }
--- a/crates/jackdawpier_fleet/src/fleet/intake.rs
+++ b/crates/jackdawpier_fleet/src/fleet/intake.rs
@@ -7,7 +7,7 @@
     ids::{AccountName, JobId, Revision},
 };
 
-use super::{Fleet, runs::book};
+use super::{Fleet, runs::allocate};
 use crate::{
     executor::{Executor, Watch},
     job::Job,
@@ -77,9 +77,9 @@
             if let Some((record, _)) = &written {
                 self.count_remains(now, wall_ms, record);
             }
-            self.over.push_back((id.clone(), now));
+            self.ended_jobs.push_back((id.clone(), now));
         } else {
-            self.open.entry(job.queue.clone()).or_default().insert(id.clone());
+            self.open_jobs.entry(job.queue.clone()).or_default().insert(id.clone());
             if job.spec.schedule.is_some() {
                 self.scheduled.insert(id.clone());
             }
@@ -93,8 +93,8 @@
     /// Remembers the labels that a job asks for: others like it will come.
     fn note_labels(&mut self, spec: &JobSpec) {
         for label in spec.steps.iter().filter_map(|step| step.required_label.as_ref()) {
-            if self.asked_labels.len() < MAX_ASKED_LABELS {
-                self.asked_labels.insert(label.clone());
+            if self.requested_labels.len() < MAX_ASKED_LABELS {
+                self.requested_labels.insert(label.clone());
             }
         }
     }
@@ -109,7 +109,7 @@
         let account = record.account.clone();
         let ended = InheritedEndedJob { outcome, account, has_rerun: record.has_rerun };
         self.inherited_ended_jobs.insert(id.clone(), ended);
-        self.over.push_back((id, now));
+        self.ended_jobs.push_back((id, now));
     }
 
     /// An earlier owner has noted which machines it ordered lately, before each order left, and how
@@ -138,7 +138,7 @@
             let executor = self
                 .executors
                 .get_or_insert_with(id.clone(), || Executor::new(self.started_at, doubt_until));
-            book(executor, &mut self.accounts, job, index);
+            allocate(executor, &mut self.accounts, job, index);
             if is_suspect {
                 executor.watch = Some(Watch { task: (job.id.clone(), index), until: None });
             }
--- a/crates/jackdawpier_fleet/src/fleet/label_reclaim.rs
+++ b/crates/jackdawpier_fleet/src/fleet/label_reclaim.rs
@@ -16,7 +16,10 @@
     ids::{PoolName, ServiceName},
 };
 
-use super::{Fleet, Shortage, label_shares::label_shares, openings::Openings, pool_view::Pool};
+use super::{
+    Fleet, Shortage, label_shares::label_shares, placement_round::PlacementRound,
+    pool_view::PoolView,
+};
 use crate::{
     machines::{Errand, MachineId, MachineInfo, MachineState, MachineWork, Stage},
     spec::Label,
@@ -54,7 +57,7 @@
     pub(super) fn machine_to_reclaim(
         &self,
         now: Now,
-        pools: &BTreeMap<PoolName, Pool>,
+        pools: &BTreeMap<PoolName, PoolView>,
         shortage: &Shortage,
         label: &Label,
     ) -> Option<MachineId> {
@@ -69,9 +72,10 @@
         {
             return None;
         }
-        let openings = self.openings(now);
+        let rounds = self.start_rounds(now);
         let shares = label_shares(pools, label);
-        let is_short = shortage.entitled.is_some() && pools[to].holds_of(Some(label)) < shares[to];
+        let is_short =
+            shortage.entitled.is_some() && pools[to].holds_with_label(Some(label)) < shares[to];
         let can_leave = |info: &&MachineInfo| {
             let is_able = info.state == MachineState::Up
                 && info.labels.contains(label)
@@ -80,13 +84,14 @@
                 && !self.machines.errands.contains_key(&info.id)
                 && !self.machines.is_held(now, &info.id);
             let Some(pool) = pools.get(&info.pool).filter(|_| is_able) else { return false };
-            let has_too_many = || is_short && pool.holds_of(Some(label)) > shares[&info.pool];
+            let has_too_many =
+                || is_short && pool.holds_with_label(Some(label)) > shares[&info.pool];
             let is_spared = || pool.can_spare(&info.labels);
-            is_spared() && self.can_give_away(info, Some(label), &openings)
-                || has_too_many() && self.can_give_away(info, None, &openings)
+            is_spared() && self.can_give_away(info, Some(label), &rounds)
+                || has_too_many() && self.can_give_away(info, None, &rounds)
         };
         let free = self.machines.listed.values().filter(can_leave);
-        free.min_by_key(|info| self.load_of(&info.id)).map(|info| info.id.clone())
+        free.min_by_key(|info| self.task_counts_on(&info.id)).map(|info| info.id.clone())
     }
 
     /// Whether all that runs on a machine ends by itself or has room elsewhere, and nothing of it needs
@@ -95,7 +100,7 @@
         &self,
         info: &MachineInfo,
         wanted: Option<&Label>,
-        openings: &BTreeMap<ServiceName, Openings>,
+        rounds: &BTreeMap<ServiceName, PlacementRound>,
     ) -> bool {
         let Some(executor) = info.executor.as_ref().and_then(|id| self.executors.get(id)) else {
             return false;
@@ -104,7 +109,7 @@
             && executor.tasks.iter().all(|task| {
                 let step = self.jobs[&task.0].step(task.1);
                 let ends_or_leaves =
-                    || !step.is_long_running || self.has_room_elsewhere(task, openings);
+                    || !step.is_long_running || self.has_room_elsewhere(task, rounds);
                 let needs_wanted = wanted.is_some() && step.required_label.as_ref() == wanted;
                 !needs_wanted && ends_or_leaves()
             })
--- a/crates/jackdawpier_fleet/src/fleet/label_shares.rs
+++ b/crates/jackdawpier_fleet/src/fleet/label_shares.rs
@@ -8,7 +8,7 @@
 
 use jackdawpier_kernel::ids::PoolName;
 
-use super::pool_view::Pool;
+use super::pool_view::PoolView;
 use crate::spec::Label;
 
 /// What bounds the part of one pool.
@@ -35,10 +35,10 @@
 
 /// The machines with a label to which each pool that has or wants some is entitled.
 pub(super) fn label_shares(
-    pools: &BTreeMap<PoolName, Pool>,
+    pools: &BTreeMap<PoolName, PoolView>,
     label: &Label,
 ) -> BTreeMap<PoolName, usize> {
-    let machines = pools.values().map(|pool| pool.holds_of(Some(label))).sum();
+    let machines = pools.values().map(|pool| pool.holds_with_label(Some(label))).sum();
     let bounds: Vec<ShareBounds> = pools.values().map(|pool| pool.share_bounds(label)).collect();
     let equal = equal_part(machines, &bounds);
     pools.keys().zip(&bounds).map(|(name, bounds)| (name.clone(), bounds.share(equal))).collect()
--- a/crates/jackdawpier_fleet/src/fleet/losses.rs
+++ b/crates/jackdawpier_fleet/src/fleet/losses.rs
@@ -81,7 +81,7 @@
         if is_news && crash != Certainty::No {
             self.note_crash(now, id, crash == Certainty::Yes, signs, &tasks);
         }
-        tasks.iter().for_each(|task| self.run_over(now, task, None));
+        tasks.iter().for_each(|task| self.end_run(now, task, None));
     }
 
     /// Notes for the log which runs are lost.
--- a/crates/jackdawpier_fleet/src/fleet/maintenance.rs
+++ b/crates/jackdawpier_fleet/src/fleet/maintenance.rs
@@ -49,12 +49,12 @@
             self.executor_ended(now, executor, evidence);
         }
         let unnamed = self.executors.keys_of(|id, executor| {
-            let is_there = executor.is_heard(now) || now < executor.known_at + UNNAMED_FOR;
+            let is_there = executor.is_responsive(now) || now < executor.known_at + UNNAMED_FOR;
             let is_registered = executor.is_listed && !executor.is_over;
             is_registered && is_there && !self.machines.has_executor(id)
         });
         self.machines.may_be_occupied = !unnamed.is_empty();
-        self.end_errands(asked_at);
+        self.end_operations(asked_at);
     }
 
     /// Takes in the waves that operators ask for. If these are all, the others are dropped; if some
@@ -99,7 +99,7 @@
 
     /// Machines that have come back are free again, and those that stayed up: the platform also
     /// takes an order that it carried out for an earlier owner.
-    fn end_errands(&mut self, asked_at: Now) {
+    fn end_operations(&mut self, asked_at: Now) {
         let listed = &self.machines.listed;
         self.machines.errands.retain(|machine, errand| {
             let Some(info) = listed.get(machine) else { return false };
@@ -114,14 +114,14 @@
 
     /// Chooses machines to vacate and orders those that are vacated.
     pub(super) fn plan_machines(&mut self, now: Now) {
-        if !self.machines.has_listing || now < self.machines_planned_at + PLAN_INTERVAL {
+        if !self.machines.has_listing || now < self.last_machine_planning_at + PLAN_INTERVAL {
             return;
         }
-        self.machines_planned_at = now;
+        self.last_machine_planning_at = now;
         let numbers: Vec<WaveNumber> = self.machines.waves.keys().copied().collect();
         numbers.iter().for_each(|number| self.plan_wave(now, *number));
         self.plan_pools(now);
-        self.order_vacated(now);
+        self.order_vacated_machines(now);
         numbers.iter().for_each(|number| self.complete_wave(*number));
     }
 
@@ -151,17 +151,17 @@
         let most = progress.wave.most_away.max(1);
         let left = progress.due.saturating_sub(now).saturating_sub(WAVE_RESERVE);
         let each = self.settings.maintenance + TURNAROUND;
-        let rounds = (left.as_secs_f64() / each.as_secs_f64()).max(1.0);
-        let needed = ((open.len() + under_way) as f64 / rounds).ceil() as usize;
+        let batches = (left.as_secs_f64() / each.as_secs_f64()).max(1.0);
+        let needed = ((open.len() + under_way) as f64 / batches).ceil() as usize;
         let mut ranked: Vec<(bool, usize, MachineId)> = open
             .into_iter()
             .map(|machine| {
-                let (lasting, others) = self.load_of(&machine);
+                let (lasting, others) = self.task_counts_on(&machine);
                 (lasting > 0, lasting + others, machine)
             })
             .collect();
         ranked.sort_unstable();
-        let openings = self.openings(now);
+        let rounds = self.start_rounds(now);
         let mut slots = most.saturating_sub(under_way);
         let mut wanted = needed.min(most).saturating_sub(under_way);
         for (_, load, machine) in ranked {
@@ -169,11 +169,11 @@
                 break;
             }
             let is_idle = load == 0;
-            let is_ready = || self.can_be_emptied(now, &machine, &openings);
+            let is_ready = || self.can_be_emptied(now, &machine, &rounds);
             if !is_idle && (wanted == 0 || !is_ready()) {
                 continue;
             }
-            self.begin_errand(now, machine, MachineWork::Maintain(number));
+            self.begin_operation(now, machine, MachineWork::Maintain(number));
             slots -= 1;
             wanted = wanted.saturating_sub(1);
         }
--- a/crates/jackdawpier_fleet/src/fleet/placement.rs
+++ b/crates/jackdawpier_fleet/src/fleet/placement.rs
@@ -7,7 +7,7 @@
     ids::{ExecutorId, JobId, ServiceName},
 };
 
-use super::{Advice, Command, Fleet, openings::Openings, runs::book};
+use super::{Advice, Command, Fleet, placement_round::PlacementRound, runs::allocate};
 use crate::{
     executor::Executor,
     job::{Job, Phase, TaskIndex},
@@ -58,7 +58,7 @@
     /// Gives room to waiting tasks, in the order of [`crate::order`].
     pub(super) fn place(&mut self, now: Now) {
         let mut waiting: Vec<(Rank, JobId)> = Vec::new();
-        for (queue, ids) in &self.open {
+        for (queue, ids) in &self.open_jobs {
             let Some(queue) = self.queues.get(queue) else { continue };
             let ranked = ids.iter().filter_map(|id| {
                 let job = self.jobs.get(id)?;
@@ -71,14 +71,14 @@
             return;
         }
         waiting.sort_unstable();
-        let mut openings = self.openings(now);
-        self.continue_defragmentations(now, &mut openings);
-        self.place_starved(now, &waiting, &mut openings);
+        let mut rounds = self.start_rounds(now);
+        self.continue_defragmentations(now, &mut rounds);
+        self.place_starved(now, &waiting, &mut rounds);
         for (_, id) in waiting {
-            let openings = self.service_of(&id).and_then(|service| openings.get_mut(service));
-            if let Some(openings) = openings.filter(|one| !one.executors.is_empty()) {
-                self.place_job(now, &id, openings, usize::MAX);
-                self.reserve_executors(now, &id, openings);
+            let round = self.service_of(&id).and_then(|service| rounds.get_mut(service));
+            if let Some(round) = round.filter(|one| !one.executors.is_empty()) {
+                self.place_job(now, &id, round, usize::MAX);
+                self.reserve_executors(now, &id, round);
             }
         }
     }
@@ -94,7 +94,7 @@
         &mut self,
         now: Now,
         id: &JobId,
-        openings: &mut Openings,
+        round: &mut PlacementRound,
         most: usize,
     ) -> bool {
         let Some(job) = self.jobs.get_mut(id) else { return false };
@@ -111,7 +111,7 @@
             let (step, slot) = (job.step(index), job.slot(index));
             let is_skipped = placed >= most
                 || full_slots.contains(&slot)
-                || openings.has_refused(step)
+                || round.is_known_unplaceable(step)
                 || job.tasks[index].not_before > now;
             if is_skipped {
                 kept.push(index);
@@ -123,7 +123,7 @@
                 continue;
             }
             if step.is_gang {
-                placed += usize::from(self.place_gang(now, id, slot, openings));
+                placed += usize::from(self.place_gang(now, id, slot, round));
                 if self.jobs[id].tasks[index].phase == Phase::Waiting {
                     full_slots.push(slot);
                     kept.push(index);
@@ -132,16 +132,16 @@
             }
             let is_suspect = self.is_suspect(job, index);
             let is_plain = !is_suspect && self.is_plain(job, step);
-            if let Some(executor) = self.choose(now, id, index, None, openings) {
-                self.plan(id, index, executor);
+            if let Some(executor) = self.choose_executor(now, id, index, None, round) {
+                self.assign(id, index, executor);
                 placed += 1;
                 continue;
             }
             if is_plain {
-                openings.note_refused(self.jobs[id].step(index));
+                round.note_unplaceable(self.jobs[id].step(index));
             }
             if is_suspect {
-                self.reserve_for_suspect(now, id, index, openings);
+                self.reserve_for_suspect(now, id, index, round);
             } else {
                 full_slots.push(slot);
             }
@@ -151,7 +151,7 @@
         job.startable.extend(kept);
         if placed > 0 {
             job.served_at = Some(now);
-            self.touch(id);
+            self.mark_changed(id);
         }
         placed > 0
     }
@@ -170,7 +170,7 @@
         !needs_advice && step.data_rack.is_none() && step.max_per_executor == 0
     }
 
-    pub(super) fn plan(&mut self, id: &JobId, index: TaskIndex, executor: ExecutorId) {
+    pub(super) fn assign(&mut self, id: &JobId, index: TaskIndex, executor: ExecutorId) {
         let job = self.jobs.get_mut(id).expect("the caller has just read it");
         let task = &mut job.tasks[index];
         task.run += 1;
@@ -181,35 +181,35 @@
         task.phase = Phase::Planned { executor: executor.clone() };
         let chosen = self.executors.get_mut(&executor).expect("just chosen");
         task.placed_in = chosen.life;
-        book(chosen, &mut self.accounts, job, index);
+        allocate(chosen, &mut self.accounts, job, index);
         self.isolate_start(&executor, id, index);
     }
 
     /// The executor that suits a task best; none if it fits nowhere now.
-    pub(super) fn choose(
+    pub(super) fn choose_executor(
         &mut self,
         now: Now,
         id: &JobId,
         index: TaskIndex,
         rack: Option<&str>,
-        openings: &Openings,
+        round: &PlacementRound,
     ) -> Option<ExecutorId> {
         let needs_advice = self.queues.get(&self.jobs[id].queue)?.needs_advice;
-        if needs_advice && !self.has_advice(now, id, index, openings) {
+        if needs_advice && !self.has_advice(now, id, index, round) {
             return None;
         }
-        self.executors_tried += openings.executors.len() as u64;
+        self.executors_tried += round.executors.len() as u64;
         let job = &self.jobs[id];
-        let far = self.may_go_far(now, openings, job, index);
+        let far = self.may_go_far(now, round, job, index);
         let advice = self.advice.get(&(id.clone(), job.slot(index))).filter(|_| needs_advice);
         let is_suspect = self.is_suspect(job, index);
-        openings
+        round
             .executors
             .iter()
             .filter(|executor| advice.is_none_or(|one| one.tickets.contains_key(*executor)))
             .filter_map(|executor_id| {
                 let executor = self.executors.get(executor_id)?;
-                if !suits(executor, job, index, rack)
+                if !has_room_for(executor, job, index, rack)
                     || executor.is_watching(now)
                     || (is_suspect && !self.can_isolate(now, executor, job, index))
                 {
@@ -223,7 +223,7 @@
                 if !may_go {
                     return None;
                 }
-                let uses_label = openings.is_scarce(executor_id, job.step(index));
+                let uses_label = round.has_unneeded_scarce_label(executor_id, job.step(index));
                 Some((self.fit(executor_id, executor, job, index, uses_label), executor_id))
             })
             .min()
@@ -233,19 +233,19 @@
     /// Whether a task may be placed away from its data, where it takes several times as long and
     /// so as much more room: if it still ends in time there or can't run near it at all, and once
     /// it is late where room is plenty, so that it doesn't wait for ever.
-    fn may_go_far(&self, now: Now, openings: &Openings, job: &Job, index: TaskIndex) -> Far {
+    fn may_go_far(&self, now: Now, round: &PlacementRound, job: &Job, index: TaskIndex) -> Far {
         let step = job.step(index);
         let Some(data_rack) = &step.data_rack else { return Far::Allowed };
         let Some(queue) = self.queues.get(&job.queue) else { return Far::Allowed };
         let far = step.estimate.mul_f64(self.settings.remote_factor.max(1.0));
         let rest = job.remaining_estimate().saturating_sub(step.estimate);
         let due = job.next_began_at() + objective(job, queue);
-        let exists_near = openings.executors.iter().any(|id| {
+        let exists_near = round.executors.iter().any(|id| {
             let Some(executor) = self.executors.get(id) else { return false };
             let is_near = executor.info.as_ref().is_some_and(|info| {
                 info.rack.as_ref() == Some(data_rack) && step.booked().fits(&info.capacity)
             });
-            is_near && may_run(executor, job, index)
+            is_near && is_eligible(executor, job, index)
         });
         let has_waited = now.saturating_sub(job.tasks[index].waits_since) >= NEAR_FOR;
         if now + far + rest <= due || !exists_near || has_waited {
@@ -274,7 +274,7 @@
             || (step.tail_target.is_some() && executor.fillers > 0);
         let is_bounded = step.is_long_running && step.may_miss > 0;
         Fit {
-            crowds: is_bounded && tasks_here(executor, job, index) >= step.may_miss,
+            crowds: is_bounded && step_tasks_on(executor, job, index) >= step.may_miss,
             endangers: if job.is_on_trial(index) { executor.tasks.len() } else { 0 },
             blocks_label: uses_label && step.is_long_running,
             disturbs,
@@ -287,7 +287,13 @@
     }
 
     /// Whether the advisor's tickets for a step are at hand; asks for them if not.
-    fn has_advice(&mut self, now: Now, id: &JobId, index: TaskIndex, openings: &Openings) -> bool {
+    fn has_advice(
+        &mut self,
+        now: Now,
+        id: &JobId,
+        index: TaskIndex,
+        round: &PlacementRound,
+    ) -> bool {
         let job = &self.jobs[id];
         let place = (id.clone(), job.slot(index));
         if let Some(advice) = self.advice.get(&place) {
@@ -299,7 +305,7 @@
             }
         }
         let executors: Vec<ExecutorId> =
-            openings.executors.iter().take(EXECUTORS_PER_ADVICE).cloned().collect();
+            round.executors.iter().take(EXECUTORS_PER_ADVICE).cloned().collect();
         if executors.is_empty() {
             return false;
         }
@@ -342,36 +348,48 @@
 }
 
 /// Whether an executor can run a task: its room, labels and rack, and the bound on tasks of a step.
-pub(super) fn suits(executor: &Executor, job: &Job, index: TaskIndex, rack: Option<&str>) -> bool {
+pub(super) fn has_room_for(
+    executor: &Executor,
+    job: &Job,
+    index: TaskIndex,
+    rack: Option<&str>,
+) -> bool {
     let Some(info) = &executor.info else { return false };
     let is_in_rack = rack.is_none_or(|rack| info.rack.as_deref() == Some(rack));
-    job.step(index).booked().fits(&executor.free()) && is_in_rack && may_run(executor, job, index)
+    job.step(index).booked().fits(&executor.free())
+        && is_in_rack
+        && is_eligible(executor, job, index)
 }
 
 /// Whether an executor may run a task if it has room: its label, and the bound on tasks of a step.
-pub(super) fn may_run(executor: &Executor, job: &Job, index: TaskIndex) -> bool {
+pub(super) fn is_eligible(executor: &Executor, job: &Job, index: TaskIndex) -> bool {
     let step = job.step(index);
     let Some(info) = &executor.info else { return false };
     let has_label = step.required_label.as_ref().is_none_or(|label| info.labels.contains(label));
     let is_apart =
-        step.max_per_executor == 0 || tasks_here(executor, job, index) < step.max_per_executor;
+        step.max_per_executor == 0 || step_tasks_on(executor, job, index) < step.max_per_executor;
     has_label && is_apart
 }
 
 /// Tasks of a step that an executor could run beside those of the step that it has, if it had this room.
-pub(super) fn fitting(executor: &Executor, job: &Job, index: TaskIndex, room: &Resources) -> usize {
-    if !may_run(executor, job, index) {
+pub(super) fn count_fitting(
+    executor: &Executor,
+    job: &Job,
+    index: TaskIndex,
+    room: &Resources,
+) -> usize {
+    if !is_eligible(executor, job, index) {
         return 0;
     }
     let step = job.step(index);
     let fits = room.count(&step.booked());
     match step.max_per_executor {
         0 => fits,
-        most => fits.min((most - tasks_here(executor, job, index)) as usize),
+        most => fits.min((most - step_tasks_on(executor, job, index)) as usize),
     }
 }
 
 /// Tasks of the same step and occurrence on an executor.
-pub(super) fn tasks_here(executor: &Executor, job: &Job, index: TaskIndex) -> u32 {
+pub(super) fn step_tasks_on(executor: &Executor, job: &Job, index: TaskIndex) -> u32 {
     executor.per_slot.get(&(job.id.clone(), job.slot(index))).copied().unwrap_or(0)
 }
--- a/crates/jackdawpier_fleet/src/fleet/pool_view.rs
+++ b/crates/jackdawpier_fleet/src/fleet/pool_view.rs
@@ -11,7 +11,7 @@
     ids::{PoolName, ServiceName},
 };
 
-use super::{Fleet, label_need::LabelNeed, label_shares::ShareBounds, placement::fitting};
+use super::{Fleet, label_need::LabelNeed, label_shares::ShareBounds, placement::count_fitting};
 use crate::{
     executor::{Executor, TaskRef},
     job::{Job, Phase, TaskIndex},
@@ -32,7 +32,7 @@
 
 /// A pool as planning sees it.
 #[derive(Debug, Default, Clone)]
-pub(super) struct Pool {
+pub(super) struct PoolView {
     /// Machines in it that are up and stay.
     pub(super) up: usize,
     /// Machines on their way to it.
@@ -53,7 +53,7 @@
     labels: BTreeMap<Label, LabelNeed>,
 }
 
-impl Pool {
+impl PoolView {
     pub(super) fn needed(&self) -> usize {
         let for_need = self.need_millicores.div_ceil(self.machine.cpu_millicores.max(1)) as usize;
         for_need.max(self.min_machines)
@@ -64,7 +64,7 @@
     }
 
     /// Machines with a label that are up or on their way; of any kind without one.
-    pub(super) fn holds_of(&self, label: Option<&Label>) -> usize {
+    pub(super) fn holds_with_label(&self, label: Option<&Label>) -> usize {
         label.map_or(self.holds(), |label| self.labels.get(label).map_or(0, |need| need.machines))
     }
 
@@ -94,7 +94,7 @@
     }
 
     /// A machine with these labels is about to leave.
-    pub(super) fn take_labels(&mut self, labels: &[Label]) {
+    pub(super) fn remove_machine_labels(&mut self, labels: &[Label]) {
         for label in labels {
             if let Some(need) = self.labels.get_mut(label) {
                 need.machines = need.machines.saturating_sub(1);
@@ -105,14 +105,14 @@
     }
 
     /// A machine with these labels is on its way to the pool.
-    pub(super) fn expect_machine(&mut self, labels: &[Label]) {
+    pub(super) fn add_arriving_machine(&mut self, labels: &[Label]) {
         self.arriving += 1;
         let room = self.machine;
-        self.count_labels(labels, &room);
+        self.add_machine_labels(labels, &room);
     }
 
     /// Counts a machine with these labels that has this room left.
-    fn count_labels(&mut self, labels: &[Label], room: &Resources) {
+    fn add_machine_labels(&mut self, labels: &[Label], room: &Resources) {
         for label in labels {
             if let Some(need) = self.labels.get_mut(label) {
                 need.machines += 1;
@@ -124,9 +124,12 @@
 }
 
 impl Fleet {
-    pub(super) fn view_pools(&mut self, now: Now) -> BTreeMap<PoolName, Pool> {
-        let mut pools: BTreeMap<PoolName, Pool> =
-            self.queues.values().map(|queue| (queue.service.clone(), Pool::default())).collect();
+    pub(super) fn pool_views(&mut self, now: Now) -> BTreeMap<PoolName, PoolView> {
+        let mut pools: BTreeMap<PoolName, PoolView> = self
+            .queues
+            .values()
+            .map(|queue| (queue.service.clone(), PoolView::default()))
+            .collect();
         self.size_machines(&mut pools);
         let scarce = self.scarce_labels();
         self.add_label_needs(&mut pools, &scarce);
@@ -134,7 +137,7 @@
             let errand = self.machines.errands.get(&info.id);
             if let Some(MachineWork::Move(to)) = errand.map(|errand| &errand.work) {
                 if let Some(pool) = pools.get_mut(to) {
-                    pool.expect_machine(&info.labels);
+                    pool.add_arriving_machine(&info.labels);
                 }
                 continue;
             }
@@ -150,7 +153,7 @@
                 continue;
             }
             pool.up += 1;
-            pool.count_labels(&info.labels, &executor.free());
+            pool.add_machine_labels(&info.labels, &executor.free());
             let shared = info.labels.iter().filter(|label| scarce.contains(label));
             shared.for_each(|label| self.add_labelled_load(pool, label, executor));
             let is_held = self.machines.is_held(now, &info.id);
@@ -170,7 +173,7 @@
 
     /// Notes the room of each pool's largest machine; a pool without one is taken for one of the
     /// fleet's largest.
-    fn size_machines(&self, pools: &mut BTreeMap<PoolName, Pool>) {
+    fn size_machines(&self, pools: &mut BTreeMap<PoolName, PoolView>) {
         let mut largest = Resources { cpu_millicores: 1, ..Resources::default() };
         for info in self.executors.unordered().filter_map(|executor| executor.info.as_ref()) {
             largest.raise_to(&info.capacity);
@@ -183,8 +186,8 @@
     }
 
     /// Counts what waits and can only run on machines with a certain label.
-    fn add_label_needs(&self, pools: &mut BTreeMap<PoolName, Pool>, scarce: &[&Label]) {
-        for (queue, ids) in &self.open {
+    fn add_label_needs(&self, pools: &mut BTreeMap<PoolName, PoolView>, scarce: &[&Label]) {
+        for (queue, ids) in &self.open_jobs {
             let Some(queue) = self.queues.get(queue) else { continue };
             let Some(pool) = pools.get_mut(&queue.service) else { continue };
             for job in ids.iter().filter_map(|id| self.jobs.get(id)) {
@@ -205,7 +208,7 @@
     }
 
     /// Adds what runs on a machine and needs a label of it.
-    fn add_labelled_load(&self, pool: &mut Pool, label: &Label, executor: &Executor) {
+    fn add_labelled_load(&self, pool: &mut PoolView, label: &Label, executor: &Executor) {
         let Some(need) = pool.labels.get_mut(label) else { return };
         let mut is_pinned = false;
         for (id, index) in &executor.tasks {
@@ -222,8 +225,8 @@
     /// Notes the longest waiting job of each pool if there will never be room for it, and the machines that it lacks:
     /// lasting work may leave enough cores in all and on no executor enough for one of its tasks. Machines with a
     /// label are counted by [`LabelNeed`].
-    fn add_missing(&self, now: Now, pools: &mut BTreeMap<PoolName, Pool>) {
-        for (queue, ids) in &self.open {
+    fn add_missing(&self, now: Now, pools: &mut BTreeMap<PoolName, PoolView>) {
+        for (queue, ids) in &self.open_jobs {
             let Some(queue) = self.queues.get(queue) else { continue };
             let Some(pool) = pools.get_mut(&queue.service) else { continue };
             let waiting = ids.iter().filter_map(|id| self.jobs.get(id));
@@ -247,7 +250,7 @@
     }
 
     /// Since when the next task of a job waits, if that is long and a machine of the pool could run it.
-    fn stuck_since(&self, now: Now, job: &Job, pool: &Pool) -> Option<Now> {
+    fn stuck_since(&self, now: Now, job: &Job, pool: &PoolView) -> Option<Now> {
         let index = *job.startable.front()?;
         let since = job.tasks[index].waits_since;
         let has_waited = now.saturating_sub(since) >= STUCK_AFTER;
@@ -261,15 +264,16 @@
         job: &Job,
         index: TaskIndex,
         service: &ServiceName,
-        pool: &Pool,
+        pool: &PoolView,
     ) -> usize {
         let of_service = self.by_service.get(service).into_iter().flatten();
         let executors = of_service.filter_map(|id| self.executors.get(id));
-        let staying = executors.filter(|executor| executor.stays());
-        let room = staying
-            .map(|executor| fitting(executor, job, index, &self.room_beside_lasting(executor)));
+        let staying = executors.filter(|executor| executor.is_usable());
+        let room = staying.map(|executor| {
+            count_fitting(executor, job, index, &self.room_beside_long_running(executor))
+        });
         let step = job.step(index);
-        let lacking = together(step).saturating_sub(room.fold(0, usize::saturating_add));
+        let lacking = start_group_size(step).saturating_sub(room.fold(0, usize::saturating_add));
         let per_machine = match step.max_per_executor {
             0 => pool.machine.count(&step.booked()),
             most => pool.machine.count(&step.booked()).min(most as usize),
@@ -278,7 +282,7 @@
     }
 
     /// Room that an executor has once all else than lasting work has ended.
-    pub(super) fn room_beside_lasting(&self, executor: &Executor) -> Resources {
+    pub(super) fn room_beside_long_running(&self, executor: &Executor) -> Resources {
         let Some(info) = &executor.info else { return Resources::default() };
         let mut booked = Resources::default();
         for (id, index) in &executor.tasks {
@@ -291,9 +295,9 @@
     }
 
     /// Adds what waits and may still be of use, as far as the caps of the accounts let it run.
-    fn add_waiting(&self, now: Now, pools: &mut BTreeMap<PoolName, Pool>) {
+    fn add_waiting(&self, now: Now, pools: &mut BTreeMap<PoolName, PoolView>) {
         let mut headroom = self.accounts.headroom();
-        for (queue, ids) in &self.open {
+        for (queue, ids) in &self.open_jobs {
             let Some(queue) = self.queues.get(queue) else { continue };
             let Some(pool) = pools.get_mut(&queue.service) else { continue };
             let mut least_millicores = 0;
@@ -321,7 +325,7 @@
 }
 
 /// Tasks of a step that start only together.
-pub(super) fn together(step: &StepSpec) -> usize {
+pub(super) fn start_group_size(step: &StepSpec) -> usize {
     if step.is_gang { step.count as usize } else { 1 }
 }
 
@@ -329,6 +333,6 @@
 fn least_room(job: &Job) -> u64 {
     job.startable.front().map_or(0, |&index| {
         let step = job.step(index);
-        step.booked().cpu_millicores * together(step) as u64
+        step.booked().cpu_millicores * start_group_size(step) as u64
     })
 }
--- a/crates/jackdawpier_fleet/src/fleet/pools.rs
+++ b/crates/jackdawpier_fleet/src/fleet/pools.rs
@@ -8,7 +8,7 @@
 
 use jackdawpier_kernel::{Now, ids::PoolName};
 
-use super::{Fleet, label_shares::label_shares, pool_view::Pool};
+use super::{Fleet, label_shares::label_shares, pool_view::PoolView};
 use crate::{
     machines::{MachineId, MachineState, MachineWork},
     spec::Label,
@@ -47,7 +47,7 @@
         if now < self.machines.orders_from {
             return;
         }
-        let mut pools = self.view_pools(now);
+        let mut pools = self.pool_views(now);
         let mut standby = self.idle_standby(now);
         let share = self.kept_share(&pools);
         self.shortages = shortages_of(&pools, &self.scarce_labels());
@@ -59,14 +59,14 @@
                     self.begin_defragmentation(now, &shortage, &pools);
                     break;
                 };
-                self.begin_errand(now, machine, MachineWork::Move(shortage.pool.clone()));
+                self.begin_operation(now, machine, MachineWork::Move(shortage.pool.clone()));
             }
         }
     }
 
     /// Machines that each pool keeps though it needs less now.
-    fn kept_share(&self, pools: &BTreeMap<PoolName, Pool>) -> usize {
-        let total: usize = pools.values().map(Pool::holds).sum();
+    fn kept_share(&self, pools: &BTreeMap<PoolName, PoolView>) -> usize {
+        let total: usize = pools.values().map(PoolView::holds).sum();
         let keep_percent = if self.settings.policy.keeps_share { KEEP_PERCENT } else { 0 };
         (total * keep_percent / 100).div_ceil(pools.len().max(1))
     }
@@ -77,7 +77,7 @@
         &self,
         now: Now,
         shortage: &Shortage,
-        pools: &mut BTreeMap<PoolName, Pool>,
+        pools: &mut BTreeMap<PoolName, PoolView>,
         standby: &mut Vec<MachineId>,
         share: usize,
     ) -> Option<MachineId> {
@@ -97,8 +97,8 @@
         let machine = self.machine_to_reclaim(now, pools, shortage, label.as_ref()?)?;
         let labels = self.labels_of(&machine);
         let from = self.machines.listed.get(&machine).map(|info| &info.pool);
-        from.and_then(|from| pools.get_mut(from))?.take_labels(labels);
-        pools.get_mut(to)?.expect_machine(labels);
+        from.and_then(|from| pools.get_mut(from))?.remove_machine_labels(labels);
+        pools.get_mut(to)?.add_arriving_machine(labels);
         Some(machine)
     }
 
@@ -109,15 +109,15 @@
     /// Takes an idle machine from the pool that can best do without; each keeps `share` machines.
     fn take_idle(
         &self,
-        pools: &mut BTreeMap<PoolName, Pool>,
+        pools: &mut BTreeMap<PoolName, PoolView>,
         to: &PoolName,
         share: usize,
         fits: impl Fn(&MachineId) -> bool,
     ) -> Option<MachineId> {
-        let surplus = |pool: &Pool| {
+        let surplus = |pool: &PoolView| {
             pool.up.saturating_sub(share.max(pool.needed() + SPARE_MACHINES)).min(pool.idle.len())
         };
-        let mut donors: Vec<(usize, &mut Pool)> = pools
+        let mut donors: Vec<(usize, &mut PoolView)> = pools
             .iter_mut()
             .filter(|(name, _)| *name != to)
             .map(|(_, pool)| (surplus(pool), pool))
@@ -132,7 +132,7 @@
             let Some(place) = place else { continue };
             let machine = pool.idle.swap_remove(place);
             pool.up -= 1;
-            pool.take_labels(self.labels_of(&machine));
+            pool.remove_machine_labels(self.labels_of(&machine));
             return Some(machine);
         }
         None
@@ -158,7 +158,7 @@
 }
 
 /// The shortages of all pools, the greatest first.
-fn shortages_of(pools: &BTreeMap<PoolName, Pool>, scarce: &[&Label]) -> Vec<Shortage> {
+fn shortages_of(pools: &BTreeMap<PoolName, PoolView>, scarce: &[&Label]) -> Vec<Shortage> {
     let mut shortages = Vec::new();
     for (name, pool) in pools {
         let by_label = pool.lacks_by_label().map(|(label, lacks)| (Some(label), lacks));
@@ -167,7 +167,7 @@
             Shortage {
                 pool: name.clone(),
                 label: label.cloned(),
-                holds: pool.holds_of(label),
+                holds: pool.holds_with_label(label),
                 lacks,
                 entitled: label
                     .filter(|label| scarce.contains(label))
--- a/crates/jackdawpier_fleet/src/fleet/trials.rs
+++ b/crates/jackdawpier_fleet/src/fleet/probation.rs
@@ -23,7 +23,7 @@
 impl Fleet {
     /// Whether a task may be put on trial: no executor of its service has just had what may be an accident. A start
     /// that one hits is spent for nothing.
-    pub(super) fn is_calm(&self, now: Now, job: &Job, index: TaskIndex) -> bool {
+    pub(super) fn may_start_probation(&self, now: Now, job: &Job, index: TaskIndex) -> bool {
         let service = self.service_of(&job.id);
         let mut not_isolated = self.recent_crashes.not_isolated();
         let last = not_isolated.find(|crash| crash.service.as_ref() == service);
@@ -33,7 +33,7 @@
 
     /// Whether executors crash without a task as well, so that what hit it may have been an accident. After a failed
     /// trial only crashes count that hardly were any task's.
-    pub(super) fn has_accidents_without(&self, now: Now, task_ref: &TaskRef) -> bool {
+    pub(super) fn has_unattributed_crashes_without(&self, now: Now, task_ref: &TaskRef) -> bool {
         let Some(task) = self.task(task_ref) else { return false };
         let has_failed_trial = has_failed_trial(task.crashes());
         let is_recent = |crash: &&ExecutorCrash| now.saturating_sub(crash.at) < ACCIDENTS_WITHIN;
@@ -43,7 +43,7 @@
     }
 
     /// Whether the task that is watched on an executor is on trial.
-    pub(super) fn watches_trial(&self, executor: &Executor) -> bool {
+    pub(super) fn is_isolating_probation(&self, executor: &Executor) -> bool {
         executor.watch.as_ref().is_some_and(|watch| {
             let job = self.jobs.get(&watch.task.0);
             job.is_some_and(|job| job.is_on_trial(watch.task.1))
--- a/crates/jackdawpier_fleet/src/fleet/recent_crashes.rs
+++ b/crates/jackdawpier_fleet/src/fleet/recent_crashes.rs
@@ -72,7 +72,7 @@
         for (task, run) in self.recent_crashes.beside(cause) {
             let job = self.jobs.get_mut(&task.0).filter(|job| !job.is_over());
             if job.is_some_and(|job| job.tasks[task.1].explain_crash(run)) {
-                self.touch(&task.0);
+                self.mark_changed(&task.0);
             }
         }
     }
--- a/crates/jackdawpier_fleet/src/fleet/reports.rs
+++ b/crates/jackdawpier_fleet/src/fleet/reports.rs
@@ -160,7 +160,7 @@
             EndKind::Failed => Some(TaskEnd::Failed),
             EndKind::Stopped | EndKind::Lapsed | EndKind::Broken | EndKind::Alone => None,
         };
-        self.run_over(now, &task_ref, ended_as);
+        self.end_run(now, &task_ref, ended_as);
         self.check_attempts(now, &task_ref);
     }
 
@@ -174,7 +174,7 @@
             EndKind::Done => self.freeze(id),
             EndKind::Failed => {
                 job.tasks[index].note_failure(end.run);
-                self.touch(&end.task.job);
+                self.mark_changed(&end.task.job);
             }
             EndKind::Stopped | EndKind::Lapsed | EndKind::Broken | EndKind::Alone => {}
         }
@@ -211,7 +211,7 @@
         let failures = job.tasks[task_ref.1].failures();
         let is_spent = queue.max_attempts > 0 && failures >= queue.max_attempts;
         if is_spent && !job.is_over() && !job.step(task_ref.1).is_long_running {
-            self.finish(now, &task_ref.0, JobOutcome::Failed);
+            self.finish_job(now, &task_ref.0, JobOutcome::Failed);
         }
     }
 
@@ -262,7 +262,7 @@
                 task.phase = Phase::Running { executor: id.clone(), since: now };
                 if !job.has_begun {
                     job.has_begun = true;
-                    self.touch(&running.task.job);
+                    self.mark_changed(&running.task.job);
                 }
             }
         }
@@ -311,7 +311,7 @@
                         (Some(_), Some(_)) => task.note_refused(),
                         _ => {}
                     }
-                    self.run_over(now, &task_ref, None);
+                    self.end_run(now, &task_ref, None);
                 }
                 Phase::Stopping { order: StopOrder::Taken { at }, .. }
                     if sent_at > *at + stop_bound =>
@@ -320,7 +320,7 @@
                     if task.confirmed_at.is_none() {
                         task.note_refused();
                     }
-                    self.run_over(now, &task_ref, None);
+                    self.end_run(now, &task_ref, None);
                 }
                 Phase::Starting { .. } if task.unanswered_at.is_some_and(|at| sent_at > at) => {
                     self.stop_task(now, &task_ref, StopReason::StartUnsure);
--- a/crates/jackdawpier_fleet/src/fleet/reservations.rs
+++ b/crates/jackdawpier_fleet/src/fleet/reservations.rs
@@ -16,7 +16,7 @@
     ids::{ExecutorId, JobId, ServiceName},
 };
 
-use super::{Fleet, openings::Openings, placement::may_run};
+use super::{Fleet, placement::is_eligible, placement_round::PlacementRound};
 use crate::{
     executor::Executor,
     job::{Job, Phase, TaskIndex},
@@ -49,7 +49,7 @@
         &mut self,
         now: Now,
         waiting: &[(Rank, JobId)],
-        openings: &mut BTreeMap<ServiceName, Openings>,
+        rounds: &mut BTreeMap<ServiceName, PlacementRound>,
     ) {
         let starved: BTreeSet<(Now, JobId)> = waiting
             .iter()
@@ -62,24 +62,24 @@
             })
             .collect();
         for (_, id) in starved {
-            let openings = self.service_of(&id).and_then(|service| openings.get_mut(service));
-            let Some(openings) = openings else { continue };
+            let round = self.service_of(&id).and_then(|service| rounds.get_mut(service));
+            let Some(round) = round else { continue };
             let next = self.jobs[&id].startable.front();
             let is_refused =
-                next.is_some_and(|&index| openings.has_refused(self.jobs[&id].step(index)));
-            if is_refused || openings.starved_misses >= MISSES_AT_ONCE {
+                next.is_some_and(|&index| round.is_known_unplaceable(self.jobs[&id].step(index)));
+            if is_refused || round.unplaced_starved_jobs >= MISSES_AT_ONCE {
                 continue;
             }
-            if !self.place_job(now, &id, openings, 1) {
-                openings.starved_misses += 1;
-                self.reserve_executors(now, &id, openings);
+            if !self.place_job(now, &id, round, 1) {
+                round.unplaced_starved_jobs += 1;
+                self.reserve_executors(now, &id, round);
             }
         }
     }
 
     /// Keeps executors free for a job that found no room, one job at a time for each service.
-    pub(super) fn reserve_executors(&mut self, now: Now, id: &JobId, openings: &mut Openings) {
-        if openings.has_held || !self.settings.policy.holds_room {
+    pub(super) fn reserve_executors(&mut self, now: Now, id: &JobId, round: &mut PlacementRound) {
+        if round.has_held || !self.settings.policy.holds_room {
             return;
         }
         let Some(job) = self.jobs.get(id) else { return };
@@ -88,12 +88,12 @@
         if waited.as_millis() % HELD_PERIOD.as_millis() >= HELD_FOR.as_millis() {
             return;
         }
-        let held = self.executors_to_hold(job, index, openings);
+        let held = self.executors_to_hold(job, index, round);
         if held.is_empty() {
             return;
         }
-        openings.has_held = true;
-        openings.executors.retain(|executor| !held.contains(executor));
+        round.has_held = true;
+        round.executors.retain(|executor| !held.contains(executor));
     }
 
     /// The room of an executor once all that ends by itself has ended.
@@ -113,12 +113,12 @@
         &self,
         job: &Job,
         index: TaskIndex,
-        openings: &Openings,
+        round: &PlacementRound,
     ) -> Vec<ExecutorId> {
         let step = job.step(index);
         let need = step.booked();
         let mut missing = if step.is_gang { step.count as usize } else { 1 };
-        let mut able: Vec<(Reverse<u64>, &ExecutorId, usize)> = openings
+        let mut able: Vec<(Reverse<u64>, &ExecutorId, usize)> = round
             .executors
             .iter()
             .filter_map(|id| {
@@ -128,7 +128,7 @@
                     0 => room.count(&need),
                     most => room.count(&need).min(most as usize),
                 };
-                let is_able = fits > 0 && may_run(executor, job, index);
+                let is_able = fits > 0 && is_eligible(executor, job, index);
                 is_able.then_some((Reverse(executor.free().cpu_millicores), id, fits))
             })
             .collect();
--- a/crates/jackdawpier_fleet/src/fleet/runs.rs
+++ b/crates/jackdawpier_fleet/src/fleet/runs.rs
@@ -20,19 +20,19 @@
 
 impl Fleet {
     /// Ends a job: nothing of it starts any more and what runs is stopped.
-    pub(super) fn finish(&mut self, now: Now, id: &JobId, outcome: JobOutcome) {
+    pub(super) fn finish_job(&mut self, now: Now, id: &JobId, outcome: JobOutcome) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.outcome = Some(outcome);
         job.ended_ms = self.wall_ms;
         job.startable.clear();
-        if let Some(open) = self.open.get_mut(&job.queue) {
+        if let Some(open) = self.open_jobs.get_mut(&job.queue) {
             open.remove(id);
         }
-        self.over.push_back((id.clone(), now));
+        self.ended_jobs.push_back((id.clone(), now));
         for index in 0..job.tasks.len() {
             self.stop_task(now, &(id.clone(), index), StopReason::JobOver(outcome));
         }
-        self.touch(id);
+        self.mark_changed(id);
     }
 
     /// Orders the end of a task that may run; one whose order hasn't left is simply dropped.
@@ -43,7 +43,7 @@
         task.at_work_since = None;
         match &task.phase {
             Phase::Waiting | Phase::Done | Phase::Stopping { .. } => {}
-            Phase::Planned { .. } => self.run_over(now, task_ref, None),
+            Phase::Planned { .. } => self.end_run(now, task_ref, None),
             Phase::Starting { executor }
             | Phase::Running { executor, .. }
             | Phase::Doubt { executor } => {
@@ -58,7 +58,7 @@
     }
 
     /// A run is over for certain. `ended_as` is how; none if it never began or was cut short.
-    pub(super) fn run_over(&mut self, now: Now, task_ref: &TaskRef, ended_as: Option<TaskEnd>) {
+    pub(super) fn end_run(&mut self, now: Now, task_ref: &TaskRef, ended_as: Option<TaskEnd>) {
         let (id, index) = (&task_ref.0, task_ref.1);
         let is_done_by_gang = ended_as.is_none() && self.gang_is_done(task_ref);
         let ended_as = if is_done_by_gang { Some(TaskEnd::Done) } else { ended_as };
@@ -66,7 +66,7 @@
         if let Some(executor) = job.tasks[index].phase.executor().cloned()
             && let Some(executor) = self.executors.get_mut(&executor)
         {
-            unbook(executor, &mut self.accounts, job, index);
+            release(executor, &mut self.accounts, job, index);
         }
         let slot = job.slot(index);
         let is_gang = job.step(index).is_gang;
@@ -89,16 +89,16 @@
         }
         let is_waiting = job.tasks[index].phase == Phase::Waiting;
         let is_done = job.progress.iter().all(|slot| slot.remaining == 0);
-        self.touch(id);
+        self.mark_changed(id);
         if is_done {
-            self.finish(now, id, JobOutcome::Completed);
+            self.finish_job(now, id, JobOutcome::Completed);
         } else if is_waiting {
-            self.wait_again(now, task_ref);
+            self.requeue(now, task_ref);
         }
     }
 
     /// A task whose run is over without success waits for its next start, unless it is given up.
-    pub(super) fn wait_again(&mut self, now: Now, task_ref: &TaskRef) {
+    pub(super) fn requeue(&mut self, now: Now, task_ref: &TaskRef) {
         self.give_up(now, task_ref);
         let Some(job) = self.jobs.get_mut(&task_ref.0).filter(|job| !job.is_over()) else { return };
         let slot = job.slot(task_ref.1);
@@ -113,7 +113,12 @@
     }
 }
 
-pub(super) fn book(executor: &mut Executor, accounts: &mut Accounts, job: &Job, index: TaskIndex) {
+pub(super) fn allocate(
+    executor: &mut Executor,
+    accounts: &mut Accounts,
+    job: &Job,
+    index: TaskIndex,
+) {
     let step = job.step(index);
     if !executor.tasks.insert((job.id.clone(), index)) {
         return;
@@ -125,7 +130,7 @@
     executor.fillers += u32::from(step.is_filler);
 }
 
-pub(super) fn unbook(
+pub(super) fn release(
     executor: &mut Executor,
     accounts: &mut Accounts,
     job: &Job,
--- a/crates/jackdawpier_fleet/src/fleet/starts.rs
+++ b/crates/jackdawpier_fleet/src/fleet/starts.rs
@@ -90,7 +90,7 @@
                 task.pace_percent = 100;
                 if !job.has_begun {
                     job.has_begun = true;
-                    self.touch(&key.job);
+                    self.mark_changed(&key.job);
                 }
                 return;
             }
@@ -122,7 +122,7 @@
         }
         if is_certain && !matches!(end, StartOutcome::Unanswered | StartOutcome::RunIsOver) {
             task.note_refused();
-            self.run_over(now, &task_ref, None);
+            self.end_run(now, &task_ref, None);
         } else {
             self.stop_task(now, &task_ref, StopReason::StartUnsure);
         }
--- a/crates/jackdawpier_fleet/src/fleet/stops.rs
+++ b/crates/jackdawpier_fleet/src/fleet/stops.rs
@@ -61,7 +61,7 @@
         let step = job.step(index);
         let is_bounded = job.may_go_on(index) && step.may_miss > 0;
         !is_bounded
-            || self.others_away(now, job, index) < step.may_miss
+            || self.other_tasks_away(now, job, index) < step.may_miss
             || self.is_unlisted_lately(now, job, index)
     }
 
@@ -123,7 +123,7 @@
         step.is_long_running.then(|| StopEvidence {
             listed_ago: task.listed_at.map(|at| now.saturating_sub(at)),
             percent: task.listed_at.map_or(0, |_| task.percent),
-            others_away: self.others_away(now, job, index),
+            others_away: self.other_tasks_away(now, job, index),
             may_miss: step.may_miss,
         })
     }
--- a/crates/jackdawpier_fleet/src/fleet/vacating.rs
+++ b/crates/jackdawpier_fleet/src/fleet/vacating.rs
@@ -11,7 +11,7 @@
     ids::{ExecutorId, ServiceName},
 };
 
-use super::{Command, Fleet, StopReason, openings::Openings, placement::suits};
+use super::{Command, Fleet, StopReason, placement::has_room_for, placement_round::PlacementRound};
 use crate::{
     executor::{Executor, TaskRef},
     job::{Job, Phase, Task, TaskIndex},
@@ -36,11 +36,11 @@
 const REOPENED_AFTER: Duration = Duration::from_secs(2);
 
 impl Fleet {
-    pub(super) fn begin_errand(&mut self, now: Now, machine: MachineId, work: MachineWork) {
+    pub(super) fn begin_operation(&mut self, now: Now, machine: MachineId, work: MachineWork) {
         let executor = self.machines.listed.get(&machine).and_then(|info| info.executor.clone());
         let stage = Stage::Vacating { since: now };
         let not_before = self.machines.free_from(&machine);
-        let (lasting, others) = self.load_of(&machine);
+        let (lasting, others) = self.task_counts_on(&machine);
         let tasks = lasting + others;
         let errand = Errand {
             work,
@@ -55,7 +55,7 @@
     }
 
     /// Numbers of long-running and other tasks on a machine.
-    pub(super) fn load_of(&self, machine: &MachineId) -> (usize, usize) {
+    pub(super) fn task_counts_on(&self, machine: &MachineId) -> (usize, usize) {
         let executor = self
             .machines
             .listed
@@ -71,22 +71,24 @@
     }
 
     /// Whether all long-running steps with tasks on a machine can spare those now.
-    pub(super) fn may_lose(&self, now: Now, machine: &MachineId) -> bool {
+    pub(super) fn can_lose_machine(&self, now: Now, machine: &MachineId) -> bool {
         let info = self.machines.listed.get(machine);
         let executor = info.and_then(|info| info.executor.as_ref());
         self.machines.knows_executor(machine)
-            && executor.is_none_or(|id| self.may_lose_executor(now, id))
+            && executor.is_none_or(|id| self.can_lose_executor(now, id))
             && (executor.is_some_and(|id| self.lives(now, id)) || !self.machines.may_be_occupied)
     }
 
     /// Whether an executor has answered lately, so that it is the one that lives on its machine.
     fn lives(&self, now: Now, id: &ExecutorId) -> bool {
-        self.executors.get(id).is_some_and(|executor| !executor.is_over && executor.is_heard(now))
+        self.executors
+            .get(id)
+            .is_some_and(|executor| !executor.is_over && executor.is_responsive(now))
     }
 
-    fn may_lose_executor(&self, now: Now, id: &ExecutorId) -> bool {
+    fn can_lose_executor(&self, now: Now, id: &ExecutorId) -> bool {
         let Some(executor) = self.executors.get(id) else { return true };
-        if executor.is_watching(now) && self.watches_trial(executor) {
+        if executor.is_watching(now) && self.is_isolating_probation(executor) {
             return false;
         }
         executor.per_slot.iter().all(|((job_id, slot), &here)| {
@@ -106,15 +108,15 @@
     }
 
     /// Tasks of a step that aren't settled at work.
-    pub(super) fn away_of(&self, now: Now, job: &Job, slot: usize) -> u32 {
+    pub(super) fn tasks_away(&self, now: Now, job: &Job, slot: usize) -> u32 {
         let is_away = |index: &TaskIndex| !self.is_at_work(now, &job.tasks[*index]);
         job.tasks_of(slot).filter(is_away).count() as u32
     }
 
     /// The same, without one of its tasks.
-    pub(super) fn others_away(&self, now: Now, job: &Job, index: TaskIndex) -> u32 {
+    pub(super) fn other_tasks_away(&self, now: Now, job: &Job, index: TaskIndex) -> u32 {
         let itself = u32::from(!self.is_at_work(now, &job.tasks[index]));
-        self.away_of(now, job, job.slot(index)) - itself
+        self.tasks_away(now, job, job.slot(index)) - itself
     }
 
     /// Whether a task is settled at work, as far as its executor still answers.
@@ -130,13 +132,13 @@
             && since.is_some_and(|since| now.saturating_sub(since) >= SETTLED_AFTER)
     }
 
-    pub(super) fn order_vacated(&mut self, now: Now) {
-        self.give_up_errands(now);
+    pub(super) fn order_vacated_machines(&mut self, now: Now) {
+        self.cancel_stalled_operations(now);
         let machines: Vec<MachineId> = self.machines.errands.keys().cloned().collect();
         if machines.is_empty() {
             return;
         }
-        let openings = self.openings(now);
+        let rounds = self.start_rounds(now);
         let mut slots = self.wave_slots(now);
         for machine in machines {
             let errand = &self.machines.errands[&machine];
@@ -146,12 +148,14 @@
             let is_due = match errand.stage {
                 Stage::Vacating { since } => self.is_vacated(now, &machine, since),
                 Stage::Ordered { at, is_under_way } => {
-                    !is_under_way && now >= at + REPEAT_ORDER && self.may_lose(now, &machine)
+                    !is_under_way
+                        && now >= at + REPEAT_ORDER
+                        && self.can_lose_machine(now, &machine)
                 }
                 Stage::Away { .. } => false,
             };
             if !is_due || !take_slot(&mut slots, &self.machines.errands[&machine]) {
-                self.thin_out(now, &machine, &openings);
+                self.thin_out(now, &machine, &rounds);
                 continue;
             }
             self.lose_long_running(&machine);
@@ -169,7 +173,7 @@
             let is_under_way = matches!(errand.stage, Stage::Ordered { is_under_way: true, .. });
             errand.work == order.work && is_under_way
         });
-        is_wanted && self.may_lose(now, &order.machine)
+        is_wanted && self.can_lose_machine(now, &order.machine)
     }
 
     /// Stops one long-running task on a machine that can't be taken yet, so that it can be later: one
@@ -180,16 +184,16 @@
         &mut self,
         now: Now,
         machine: &MachineId,
-        openings: &BTreeMap<ServiceName, Openings>,
+        rounds: &BTreeMap<ServiceName, PlacementRound>,
     ) {
         let is_vacating = matches!(self.machines.errands[machine].stage, Stage::Vacating { .. });
         if !is_vacating || !self.settings.policy.gives_away {
             return;
         }
-        let (_, others) = self.load_of(machine);
-        let mut task = self.crowded_task(now, machine, openings);
-        if task.is_none() && others == 0 && !self.may_lose(now, machine) {
-            task = self.task_to_spare(now, machine, openings, |_, _| true);
+        let (_, others) = self.task_counts_on(machine);
+        let mut task = self.crowded_task(now, machine, rounds);
+        if task.is_none() && others == 0 && !self.can_lose_machine(now, machine) {
+            task = self.task_to_spare(now, machine, rounds, |_, _| true);
         }
         if let Some(task) = task {
             self.stop_task(now, &task, StopReason::MachineTaken);
@@ -202,24 +206,24 @@
         &self,
         now: Now,
         machine: &MachineId,
-        openings: &BTreeMap<ServiceName, Openings>,
+        rounds: &BTreeMap<ServiceName, PlacementRound>,
     ) -> bool {
-        self.may_lose(now, machine) || self.crowded_task(now, machine, openings).is_some()
+        self.can_lose_machine(now, machine) || self.crowded_task(now, machine, rounds).is_some()
     }
 
     /// Whether an executor that takes work, other than the task's own, has room for it.
     pub(super) fn has_room_elsewhere(
         &self,
         (id, index): &TaskRef,
-        openings: &BTreeMap<ServiceName, Openings>,
+        rounds: &BTreeMap<ServiceName, PlacementRound>,
     ) -> bool {
         let job = &self.jobs[id];
         let own = job.tasks[*index].phase.executor();
-        let openings = self.service_of(id).and_then(|service| openings.get(service));
-        openings.is_some_and(|openings| {
-            let others = openings.executors.iter().filter(|id| Some(*id) != own);
+        let round = self.service_of(id).and_then(|service| rounds.get(service));
+        round.is_some_and(|round| {
+            let others = round.executors.iter().filter(|id| Some(*id) != own);
             let mut others = others.filter_map(|id| self.executors.get(id));
-            others.any(|executor| suits(executor, job, *index, None))
+            others.any(|executor| has_room_for(executor, job, *index, None))
         })
     }
 
@@ -228,9 +232,9 @@
         &self,
         now: Now,
         machine: &MachineId,
-        openings: &BTreeMap<ServiceName, Openings>,
+        rounds: &BTreeMap<ServiceName, PlacementRound>,
     ) -> Option<TaskRef> {
-        self.task_to_spare(now, machine, openings, |step, here| here > step.may_miss)
+        self.task_to_spare(now, machine, rounds, |step, here| here > step.may_miss)
     }
 
     /// A long-running task on a machine that its step can spare now and that has room elsewhere, of a
@@ -239,12 +243,12 @@
         &self,
         now: Now,
         machine: &MachineId,
-        openings: &BTreeMap<ServiceName, Openings>,
+        rounds: &BTreeMap<ServiceName, PlacementRound>,
         suits: impl Fn(&StepSpec, u32) -> bool,
     ) -> Option<TaskRef> {
         let id = self.machines.listed.get(machine)?.executor.as_ref()?;
         let executor = self.executors.get(id)?;
-        if executor.is_watching(now) && self.watches_trial(executor) {
+        if executor.is_watching(now) && self.is_isolating_probation(executor) {
             return None;
         }
         executor.per_slot.iter().find_map(|((job_id, slot), &here)| {
@@ -255,7 +259,7 @@
             if !is_bounded || !suits(step, here) || job.is_over() {
                 return None;
             }
-            if self.away_of(now, job, *slot) >= step.may_miss {
+            if self.tasks_away(now, job, *slot) >= step.may_miss {
                 return None;
             }
             let runs_here = |index: &usize| {
@@ -263,15 +267,15 @@
                 phase.executor() == Some(id) && !matches!(phase, Phase::Stopping { .. })
             };
             let task = (job_id.clone(), indices.clone().find(runs_here)?);
-            self.has_room_elsewhere(&task, openings).then_some(task)
+            self.has_room_elsewhere(&task, rounds).then_some(task)
         })
     }
 
     /// Lets machines take work again that are kept free to no avail: nothing leaves them any more.
-    fn give_up_errands(&mut self, now: Now) {
+    fn cancel_stalled_operations(&mut self, now: Now) {
         let machines: Vec<MachineId> = self.machines.errands.keys().cloned().collect();
         for machine in machines {
-            let (lasting, others) = self.load_of(&machine);
+            let (lasting, others) = self.task_counts_on(&machine);
             let errand = self.machines.errands.get_mut(&machine).expect("just listed");
             if lasting + others < errand.tasks {
                 errand.progress_at = now;
@@ -295,7 +299,7 @@
             };
             job.startable.iter().find(is_long).copied()
         };
-        let open = self.open.values().flatten().filter_map(|id| self.jobs.get(id));
+        let open = self.open_jobs.values().flatten().filter_map(|id| self.jobs.get(id));
         let mut waiting = open.filter_map(|job| Some((job, waits(job)?)));
         let machine = waiting.find_map(|(job, index)| self.reopenable(job, index));
         if let Some(machine) = machine {
@@ -310,15 +314,15 @@
             let executor = errand.executor.as_ref().and_then(|id| self.executors.get(id));
             matches!(errand.stage, Stage::Vacating { .. })
                 && self.machines.listed.get(*machine).is_some_and(|info| info.pool == *service)
-                && executor.is_some_and(|executor| suits(executor, job, index, None))
+                && executor.is_some_and(|executor| has_room_for(executor, job, index, None))
         };
         self.machines.errands.iter().find(could_run).map(|(machine, _)| machine.clone())
     }
 
     fn is_vacated(&self, now: Now, machine: &MachineId, since: Now) -> bool {
-        let (_, others) = self.load_of(machine);
+        let (_, others) = self.task_counts_on(machine);
         let is_empty = others == 0 || now >= since + LONGEST_VACATING;
-        is_empty && self.may_lose(now, machine)
+        is_empty && self.can_lose_machine(now, machine)
     }
 
     /// Long-running tasks on a machine count as away from the moment that its order leaves.
--- a/crates/jackdawpier_fleet/src/fleet/waits.rs
+++ b/crates/jackdawpier_fleet/src/fleet/waits.rs
@@ -7,7 +7,7 @@
 
 use jackdawpier_kernel::{Now, ids::ExecutorId};
 
-use super::{Fleet, placement::may_run};
+use super::{Fleet, placement::is_eligible};
 use crate::{
     executor::Executor,
     job::{Job, Phase, TaskIndex},
@@ -58,7 +58,7 @@
         most: usize,
     ) -> Vec<WaitingTask> {
         let mut waiting: Vec<(Now, &Job, TaskIndex)> = self
-            .open
+            .open_jobs
             .values()
             .flatten()
             .filter_map(|id| self.jobs.get(id))
@@ -109,7 +109,7 @@
         let is_open = executor.info.as_ref().is_some_and(|info| !info.is_draining);
         if !is_open || !executor.is_listed || executor.is_over {
             &mut self.leaving
-        } else if !executor.is_heard(now) {
+        } else if !executor.is_responsive(now) {
             &mut self.silent
         } else if now < executor.avoid_until || executor.is_frozen {
             &mut self.left_out
@@ -117,7 +117,7 @@
             &mut self.watched
         } else if is_vacating {
             &mut self.vacating
-        } else if !may_run(executor, job, index) {
+        } else if !is_eligible(executor, job, index) {
             &mut self.unsuited
         } else if !job.step(index).booked().fits(&executor.free()) {
             &mut self.full
