--- a/crates/jackdawpier_bench/src/days.rs
+++ b/crates/jackdawpier_bench/src/days.rs
@@ -5,11 +5,11 @@
 
 use jackdawpier_capacity::{
     InstanceIx, PoolIx,
-    demand::{DayKind, Demand},
+    demand::{DayKind, DemandPattern},
     fleet::{Fleet, Phase, PoolTarget},
     forecast::{Forecast, forecast},
-    lending::{lend, take_back},
-    planner::{Outlook, Planner},
+    planner::{Planner, ShrinkPolicy},
+    surge::{end_surge, request_surge},
     wave::{Wave, WaveState},
 };
 use jackdawpier_settings::declaration::Domain;
@@ -107,7 +107,7 @@
     run: Run,
     fleet: Fleet,
     planner: Planner,
-    demands: Vec<Demand>,
+    demands: Vec<DemandPattern>,
     needs: Vec<u32>,
     random: ChaCha8Rng,
     events: BTreeMap<u32, Vec<Event>>,
@@ -122,7 +122,7 @@
 
 /// Runs virtual days.
 pub fn run(deployment: &Deployment, run: Run) -> Measured {
-    let demands = deployment.pools.iter().map(|pool| Demand::new(pool.peak)).collect();
+    let demands = deployment.pools.iter().map(|pool| DemandPattern::new(pool.peak)).collect();
     let mut sim = Sim {
         deployment,
         run,
@@ -197,7 +197,7 @@
 
     fn touch_pool_of(&mut self, ix: InstanceIx) {
         if let Some(pool) = self.fleet.instance(ix).pool {
-            self.planner.touch(pool);
+            self.planner.mark_changed(pool);
         }
     }
 
@@ -206,21 +206,21 @@
             Event::Warm(ix) => {
                 let instance = self.fleet.instance(ix).clone();
                 if instance.phase == Phase::Warming {
-                    self.fleet.set(ix, instance.pool, Phase::Serving);
+                    self.fleet.assign(ix, instance.pool, Phase::Serving);
                     self.touch_pool_of(ix);
                 }
             }
             Event::Drained(ix) => {
                 if self.fleet.instance(ix).phase == Phase::Draining {
                     self.touch_pool_of(ix);
-                    self.fleet.set(ix, None, Phase::Free);
+                    self.fleet.assign(ix, None, Phase::Free);
                 }
             }
             Event::Maintained(ix) => {
                 let instance = self.fleet.instance(ix).clone();
                 if instance.phase == Phase::InMaintenance {
                     let phase = if instance.pool.is_some() { Phase::Serving } else { Phase::Free };
-                    self.fleet.set(ix, instance.pool, phase);
+                    self.fleet.assign(ix, instance.pool, phase);
                     self.touch_pool_of(ix);
                     if let Some((wave, _)) = &mut self.wave {
                         wave.finish_step(ix, true);
@@ -229,7 +229,7 @@
             }
             Event::Repaired(ix) => {
                 if self.fleet.instance(ix).phase == Phase::Down {
-                    self.fleet.set(ix, None, Phase::Free);
+                    self.fleet.assign(ix, None, Phase::Free);
                     self.planner_touch_all();
                 }
             }
@@ -237,7 +237,7 @@
     }
 
     fn planner_touch_all(&mut self) {
-        (0..self.deployment.pools.len()).for_each(|pool| self.planner.touch(pool as PoolIx));
+        (0..self.deployment.pools.len()).for_each(|pool| self.planner.mark_changed(pool as PoolIx));
     }
 
     fn new_slot(&mut self) {
@@ -274,7 +274,7 @@
         let target = PoolTarget { need, cautious_need, may_lose: spec.may_lose, survive };
         if self.fleet.pools()[ix].target != target {
             self.fleet.set_target(ix as PoolIx, target);
-            self.planner.touch(ix as PoolIx);
+            self.planner.mark_changed(ix as PoolIx);
         }
     }
 
@@ -283,20 +283,20 @@
             .map(|ix| {
                 let forecast = self.forecast(ix);
                 self.set_target(ix, forecast.need, forecast.cautious_need);
-                forecast.later
+                forecast.later_need
             })
             .collect();
-        let is_prompt = self.wave.is_some();
+        let is_immediate = self.wave.is_some();
         let held: Vec<bool> = (0..self.needs.len())
             .map(|ix| {
                 let wave = self.wave.as_ref();
-                wave.is_some_and(|(wave, _)| wave.goes_through(&self.fleet, ix as PoolIx))
+                wave.is_some_and(|(wave, _)| wave.has_remaining_in(&self.fleet, ix as PoolIx))
             })
             .collect();
-        let outlook = |ix: PoolIx| Outlook {
-            later: later[ix as usize],
-            is_held: held[ix as usize],
-            is_prompt,
+        let outlook = |ix: PoolIx| ShrinkPolicy {
+            later_need: later[ix as usize],
+            is_blocked: held[ix as usize],
+            is_immediate,
         };
         let now = self.now();
         let moves = self.planner.replan(now, &mut self.fleet, outlook);
@@ -319,7 +319,7 @@
         }
         self.planner_touch_all();
         let now = self.now();
-        let outlook = |_| Outlook { is_held: true, ..Outlook::default() };
+        let outlook = |_| ShrinkPolicy { is_blocked: true, ..ShrinkPolicy::default() };
         let moves = self.planner.replan(now, &mut self.fleet, outlook);
         for decided in moves {
             self.measured.moves += u32::from(self.is_measuring);
@@ -348,7 +348,7 @@
             if self.fleet.instance(ix).pool != pool {
                 self.measured.moves += u32::from(self.is_measuring && pool.is_some());
                 let phase = if pool.is_some() { Phase::Serving } else { Phase::Free };
-                self.fleet.set(ix, pool, phase);
+                self.fleet.assign(ix, pool, phase);
             }
         }
     }
@@ -362,7 +362,7 @@
         if let Some((wave, _)) = &mut self.wave {
             wave.finish_step(ix, false);
         }
-        self.fleet.set(ix, None, Phase::Down);
+        self.fleet.assign(ix, None, Phase::Down);
         if self.is_measuring && was_in_pool {
             self.measured.moves_bound += 1.0;
         }
@@ -387,7 +387,7 @@
         let zone = self.random.random_range(0..self.deployment.zones);
         self.lost_zone = Some((zone, self.minute + ZONE_OUTAGE_MINUTES));
         let lost: Vec<InstanceIx> = (0..self.deployment.instances)
-            .filter(|ix| self.fleet.instance(*ix).place.zone == zone)
+            .filter(|ix| self.fleet.instance(*ix).location.zone == zone)
             .collect();
         lost.iter().for_each(|ix| self.fail(*ix, ZONE_OUTAGE_MINUTES));
     }
@@ -407,14 +407,14 @@
             (wave, _) = self.wave.take().expect("it was put there");
         }
         wave.resume();
-        lend(&wave, &mut self.fleet, &mut self.planner);
+        request_surge(&wave, &mut self.fleet, &mut self.planner);
         let (starts, _) = wave.start_steps(&mut self.fleet);
         for ix in starts {
             self.later(MAINTENANCE_MINUTES, Event::Maintained(ix));
         }
         for ix in 0..self.deployment.instances {
             if self.fleet.instance(ix).phase == Phase::Down {
-                wave.drop_instance(ix);
+                wave.remove_instance(ix);
             }
         }
         let is_finished =
@@ -425,7 +425,7 @@
                 self.measured.wave_minutes += self.minute - started_at;
                 self.measured.wave_bound_minutes += self.shortest_wave_minutes;
             }
-            take_back(&mut self.fleet, &mut self.planner);
+            end_surge(&mut self.fleet, &mut self.planner);
             self.planner_touch_all();
         } else {
             self.wave = Some((wave, started_at));
--- a/crates/jackdawpier_bench/src/deployment.rs
+++ b/crates/jackdawpier_bench/src/deployment.rs
@@ -1,7 +1,7 @@
 //! The two deployments of today, as the virtual days drive them.
 
 use jackdawpier_capacity::{
-    fleet::{Fleet, Place, PoolTarget},
+    fleet::{Fleet, Location, PoolTarget},
     planner::Ceilings,
 };
 use jackdawpier_settings::declaration::Domain;
@@ -99,7 +99,7 @@
             let rack_in_zone = in_zone / self.per_rack;
             let rack = rack_in_zone * self.zones + zone;
             let switch = (rack_in_zone / self.racks_per_switch) * self.zones + zone;
-            fleet.add_instance(Place { zone, switch, rack });
+            fleet.add_instance(Location { zone, switch, rack });
         }
         for pool in &self.pools {
             fleet.add_pool(PoolTarget {
--- a/crates/jackdawpier_bench/src/lower_bound.rs
+++ b/crates/jackdawpier_bench/src/lower_bound.rs
@@ -1,6 +1,6 @@
 //! Arithmetic lower bounds: what no planner could beat with perfect knowledge.
 
-use jackdawpier_capacity::explain::fewest_instances;
+use jackdawpier_capacity::explain::min_instances;
 use jackdawpier_settings::declaration::Domain;
 
 use crate::deployment::{Deployment, PoolSpec};
@@ -17,7 +17,7 @@
         Domain::Switch => deployment.per_rack * deployment.racks_per_switch,
         Domain::Rack | Domain::Instance => deployment.per_rack,
     };
-    fewest_instances(need, pool.may_lose, domains, pool.survive, domain_size)
+    min_instances(need, pool.may_lose, domains, pool.survive, domain_size)
 }
 
 /// The most instances of a pool of `size` that may be out at once with `need`.
--- a/crates/jackdawpier_bench/src/scale.rs
+++ b/crates/jackdawpier_bench/src/scale.rs
@@ -8,8 +8,8 @@
 
 use jackdawpier_capacity::{
     PoolIx,
-    fleet::{Fleet, Phase, Place, PoolTarget},
-    planner::{Ceilings, Outlook, Planner},
+    fleet::{Fleet, Location, Phase, PoolTarget},
+    planner::{Ceilings, Planner, ShrinkPolicy},
     wave::Wave,
 };
 use jackdawpier_coord::{
@@ -74,7 +74,7 @@
     for ix in 0..instances {
         let zone = ix % zones;
         let rack = (ix / zones / 4) * zones + zone;
-        fleet.add_instance(Place { zone, switch: rack / 8, rack });
+        fleet.add_instance(Location { zone, switch: rack / 8, rack });
     }
     for _ in 0..pools {
         let need = instances * 6 / 10 / pools;
@@ -90,10 +90,10 @@
 
 /// Plans a fleet from nothing and brings every instance into service.
 pub fn plan_from_nothing(fleet: &mut Fleet, planner: &mut Planner) -> usize {
-    (0..fleet.pools().len() as PoolIx).for_each(|pool| planner.touch(pool));
-    let moves = planner.replan(Now::ZERO, fleet, |_| Outlook::default());
+    (0..fleet.pools().len() as PoolIx).for_each(|pool| planner.mark_changed(pool));
+    let moves = planner.replan(Now::ZERO, fleet, |_| ShrinkPolicy::default());
     for decided in &moves {
-        fleet.set(decided.instance, decided.to, Phase::Serving);
+        fleet.assign(decided.instance, decided.to, Phase::Serving);
     }
     moves.len()
 }
@@ -106,13 +106,13 @@
         .find(|ix| fleet.instance(*ix).phase == Phase::Serving)
         .expect("some instance serves");
     let pool = fleet.instance(failed).pool.expect("a serving instance has a pool");
-    fleet.set(failed, None, Phase::Down);
-    planner.touch(pool);
-    let moves = planner.replan(Now::ZERO, fleet, |_| Outlook::default());
+    fleet.assign(failed, None, Phase::Down);
+    planner.mark_changed(pool);
+    let moves = planner.replan(Now::ZERO, fleet, |_| ShrinkPolicy::default());
     for decided in &moves {
-        fleet.set(decided.instance, decided.to, Phase::Serving);
+        fleet.assign(decided.instance, decided.to, Phase::Serving);
     }
-    fleet.set(failed, None, Phase::Free);
+    fleet.assign(failed, None, Phase::Free);
     moves.len()
 }
 
@@ -284,7 +284,7 @@
             black_box(replan_after_failure(&mut ready, &mut planner, step));
         });
         replan.push((size, time * 1e6));
-        seen.push((size, planner.candidates_seen as f64 / 500.0));
+        seen.push((size, planner.candidates_examined as f64 / 500.0));
         let time = mean_time(3, |_| {
             let mut fleet = ready.clone();
             let mut wave = Wave::new(0..instances);
--- a/crates/jackdawpier_bench/tests/operations.rs
+++ b/crates/jackdawpier_bench/tests/operations.rs
@@ -53,7 +53,7 @@
     for step in 0..200 {
         scale::replan_after_failure(&mut fleet, &mut planner, step);
     }
-    planner.candidates_seen as f64 / 200.0
+    planner.candidates_examined as f64 / 200.0
 }
 
 /// All in one test, so that no other thread allocates meanwhile.
--- a/crates/jackdawpier_capacity/src/counts.rs
+++ b/crates/jackdawpier_capacity/src/counts.rs
@@ -23,7 +23,7 @@
     }
 
     /// Domains with the largest count.
-    pub fn largest_domains(&self) -> u32 {
+    pub fn domains_at_largest(&self) -> u32 {
         self.domains_by_count.last_key_value().map_or(0, |(_, domains)| *domains)
     }
 
--- a/crates/jackdawpier_capacity/src/demand.rs
+++ b/crates/jackdawpier_capacity/src/demand.rs
@@ -9,9 +9,9 @@
 use serde::{Deserialize, Serialize};
 
 /// Slots of a day.
-pub const SLOTS: usize = 96;
+pub const SLOTS_PER_DAY: usize = 96;
 /// Length of a slot.
-pub const SLOT: Duration = Duration::from_secs(15 * 60);
+pub const SLOT_LENGTH: Duration = Duration::from_secs(15 * 60);
 const DAY: Duration = Duration::from_secs(24 * 3600);
 /// A hundredth of an instance is rounding and asks for no whole one.
 const ROUNDING: f64 = 0.01;
@@ -38,7 +38,7 @@
 
 /// Demand of one pool, in instances.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Demand {
+pub struct DemandPattern {
     ordinary: Vec<Slot>,
     quiet: Vec<Slot>,
     today: f64,
@@ -46,16 +46,16 @@
 }
 
 fn slot_of(time: Duration) -> usize {
-    ((time.as_secs() % DAY.as_secs()) / SLOT.as_secs()) as usize
+    ((time.as_secs() % DAY.as_secs()) / SLOT_LENGTH.as_secs()) as usize
 }
 
-impl Demand {
+impl DemandPattern {
     /// Returns a pattern that assumes the declared peak at all times, until it has learned.
     pub fn new(peak: u32) -> Self {
         let slot = Slot { mean: f64::from(peak), spread: 0.0, days: 0 };
         Self {
-            ordinary: vec![slot.clone(); SLOTS],
-            quiet: vec![slot; SLOTS],
+            ordinary: vec![slot.clone(); SLOTS_PER_DAY],
+            quiet: vec![slot; SLOTS_PER_DAY],
             today: 1.0,
             peak: f64::from(peak),
         }
@@ -95,19 +95,25 @@
         slot.days += 1;
     }
 
-    /// The largest demand expected between `from` and `until`, in whole instances, with `caution`
+    /// The largest demand expected between `from` and `until`, in whole instances, with `safety_factor`
     /// spreads on top of the mean.
-    pub fn expected(&self, from: Duration, until: Duration, kind: DayKind, caution: f64) -> u32 {
+    pub fn max_expected(
+        &self,
+        from: Duration,
+        until: Duration,
+        kind: DayKind,
+        safety_factor: f64,
+    ) -> u32 {
         let slots = self.slots(kind);
         let (first, last) = (slot_of(from), slot_of(until));
-        let count = (last + SLOTS - first) % SLOTS;
+        let count = (last + SLOTS_PER_DAY - first) % SLOTS_PER_DAY;
         let largest = (0..=count)
-            .map(|step| &slots[(first + step) % SLOTS])
+            .map(|step| &slots[(first + step) % SLOTS_PER_DAY])
             .map(|slot| {
                 if slot.days == 0 {
                     self.peak
                 } else {
-                    slot.mean * self.today + slot.spread * caution
+                    slot.mean * self.today + slot.spread * safety_factor
                 }
             })
             .fold(0.0, f64::max);
--- a/crates/jackdawpier_capacity/src/escrow.rs
+++ b/crates/jackdawpier_capacity/src/escrow.rs
@@ -31,7 +31,7 @@
 pub enum EscrowError {
     /// Everything granted is spent.
     #[display("the allowance is spent")]
-    Spent,
+    Exhausted,
 }
 
 impl Allowance {
@@ -41,14 +41,14 @@
     }
 
     /// Instances that may still be taken out.
-    pub fn left(&self) -> u32 {
+    pub fn remaining(&self) -> u32 {
         self.granted.saturating_sub(self.spent)
     }
 
     /// Spends one, before a step starts.
     pub fn spend(&mut self) -> Result<(), EscrowError> {
-        if self.left() == 0 {
-            return Err(EscrowError::Spent);
+        if self.remaining() == 0 {
+            return Err(EscrowError::Exhausted);
         }
         self.spent += 1;
         Ok(())
@@ -60,14 +60,14 @@
     }
 
     /// Gives one back, after a step ended or a failed instance returned.
-    pub fn give_back(&mut self) {
+    pub fn refund(&mut self) {
         self.spent = self.spent.saturating_sub(1);
     }
 
-    /// Takes `count` out for another holder. To be durable before [`Allowance::take_in`] is tried.
+    /// Takes `count` out for another holder. To be durable before [`Allowance::receive`] is tried.
     pub fn send(&mut self, transfer: TransferId, count: u32) -> Result<(), EscrowError> {
-        if self.left() < count {
-            return Err(EscrowError::Spent);
+        if self.remaining() < count {
+            return Err(EscrowError::Exhausted);
         }
         self.granted -= count;
         self.leaving.insert(transfer, count);
@@ -75,7 +75,7 @@
     }
 
     /// Takes a transfer in; a repeat changes nothing.
-    pub fn take_in(&mut self, transfer: TransferId, count: u32) {
+    pub fn receive(&mut self, transfer: TransferId, count: u32) {
         if self.arrived.insert(transfer, count).is_none() {
             self.granted += count;
         }
--- a/crates/jackdawpier_capacity/src/explain.rs
+++ b/crates/jackdawpier_capacity/src/explain.rs
@@ -34,7 +34,7 @@
 /// Explains a pool.
 pub fn explain(pool: &Pool) -> Explanation {
     let have = pool.serving.total();
-    let worst_loss = pool.serving.worst(pool.target.survive);
+    let worst_loss = pool.serving.worst_loss(pool.target.survive);
     Explanation {
         have,
         need: pool.target.need,
@@ -48,7 +48,7 @@
 }
 
 /// The fewest instances that survive the loss of one of `domains` equal domains.
-pub fn fewest_instances(
+pub fn min_instances(
     need: u32,
     may_lose: u32,
     domains: u32,
--- a/crates/jackdawpier_capacity/src/fleet.rs
+++ b/crates/jackdawpier_capacity/src/fleet.rs
@@ -12,7 +12,7 @@
 
 /// Where an instance stands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Place {
+pub struct Location {
     /// Availability zone.
     pub zone: DomainIx,
     /// Switch.
@@ -21,8 +21,8 @@
     pub rack: DomainIx,
 }
 
-impl Place {
-    /// The domain of this kind that the place belongs to; none for the instance itself.
+impl Location {
+    /// The domain of this kind that the location belongs to; none for the instance itself.
     pub fn domain(&self, kind: Domain) -> Option<DomainIx> {
         match kind {
             Domain::Instance => None,
@@ -55,13 +55,13 @@
 #[derive(Debug, Clone)]
 pub struct Instance {
     /// Where it stands.
-    pub place: Place,
+    pub location: Location,
     /// The pool that it belongs to, if any.
     pub pool: Option<PoolIx>,
     /// Its phase.
     pub phase: Phase,
     /// Whether a wave still has to take it out.
-    pub awaits_wave: bool,
+    pub awaits_maintenance: bool,
 }
 
 /// What a pool must keep.
@@ -80,40 +80,41 @@
 impl PoolTarget {
     /// Instances that `spread` has beyond what the target asks for after the loss of the worst
     /// domain; negative if it would fall short.
-    pub fn margin(&self, spread: &Spread) -> i64 {
+    pub fn margin(&self, spread: &DomainSpread) -> i64 {
         let now = i64::from(spread.total()) - i64::from(self.need);
-        let after_loss = now - i64::from(spread.worst(self.survive)) + i64::from(self.may_lose);
+        let after_loss =
+            now - i64::from(spread.worst_loss(self.survive)) + i64::from(self.may_lose);
         after_loss.min(now)
     }
 }
 
 impl PoolTarget {
     /// [`PoolTarget::margin`] once an instance at `place` is gone.
-    pub fn margin_without(&self, spread: &Spread, place: &Place) -> i64 {
+    pub fn margin_without(&self, spread: &DomainSpread, location: &Location) -> i64 {
         let now = i64::from(spread.total()) - 1 - i64::from(self.need);
-        let eased = i64::from(spread.eases_worst(self.survive, place));
-        let worst = i64::from(spread.worst(self.survive)) - eased;
+        let eased = i64::from(spread.reduces_worst_loss(self.survive, location));
+        let worst = i64::from(spread.worst_loss(self.survive)) - eased;
         now.min(now - worst + i64::from(self.may_lose))
     }
 }
 
 /// Instances of a pool by failure domain.
 #[derive(Debug, Clone, Default)]
-pub struct Spread {
+pub struct DomainSpread {
     total: u32,
     zones: DomainCounts,
     switches: DomainCounts,
     racks: DomainCounts,
 }
 
-impl Spread {
+impl DomainSpread {
     /// Instances in all.
     pub fn total(&self) -> u32 {
         self.total
     }
 
     /// Instances lost with the worst domain of this kind.
-    pub fn worst(&self, domain: Domain) -> u32 {
+    pub fn worst_loss(&self, domain: Domain) -> u32 {
         match domain {
             Domain::Instance => self.total.min(1),
             Domain::Rack => self.racks.largest(),
@@ -123,33 +124,37 @@
     }
 
     /// Instances in the domains of `place`, of each kind.
-    pub fn at(&self, place: &Place) -> (u32, u32, u32) {
-        (self.zones.get(place.zone), self.switches.get(place.switch), self.racks.get(place.rack))
+    pub fn counts_at(&self, location: &Location) -> (u32, u32, u32) {
+        (
+            self.zones.get(location.zone),
+            self.switches.get(location.switch),
+            self.racks.get(location.rack),
+        )
     }
 
     /// Whether taking an instance at `place` away makes the worst domain smaller.
-    pub fn eases_worst(&self, domain: Domain, place: &Place) -> bool {
+    pub fn reduces_worst_loss(&self, domain: Domain, location: &Location) -> bool {
         let (counts, ix) = match domain {
             Domain::Instance => return false,
-            Domain::Rack => (&self.racks, place.rack),
-            Domain::Switch => (&self.switches, place.switch),
-            Domain::Zone => (&self.zones, place.zone),
+            Domain::Rack => (&self.racks, location.rack),
+            Domain::Switch => (&self.switches, location.switch),
+            Domain::Zone => (&self.zones, location.zone),
         };
-        counts.get(ix) == counts.largest() && counts.largest_domains() == 1
+        counts.get(ix) == counts.largest() && counts.domains_at_largest() == 1
     }
 
-    fn add(&mut self, place: &Place) {
+    fn add(&mut self, location: &Location) {
         self.total += 1;
-        self.zones.add(place.zone);
-        self.switches.add(place.switch);
-        self.racks.add(place.rack);
+        self.zones.add(location.zone);
+        self.switches.add(location.switch);
+        self.racks.add(location.rack);
     }
 
-    fn remove(&mut self, place: &Place) {
+    fn remove(&mut self, location: &Location) {
         self.total -= 1;
-        self.zones.remove(place.zone);
-        self.switches.remove(place.switch);
-        self.racks.remove(place.rack);
+        self.zones.remove(location.zone);
+        self.switches.remove(location.switch);
+        self.racks.remove(location.rack);
     }
 }
 
@@ -159,38 +164,38 @@
     /// What it must keep.
     pub target: PoolTarget,
     /// Instances wanted on top while a wave goes through the pool, so that some can be out.
-    pub wave_extra: u32,
+    pub wave_surge: u32,
     /// Committed instances that the pool needs beside those on top.
-    pub wave_base: u32,
+    pub wave_baseline: u32,
     /// Instances that the pool got for a wave and has not given back.
-    pub lent: u32,
+    pub surge_to_return: u32,
     /// Instances that take work.
-    pub serving: Spread,
+    pub serving: DomainSpread,
     /// Instances that take work or soon will: serving and warming.
-    pub committed: Spread,
+    pub committed: DomainSpread,
     /// The committed ones that no wave has to take out any more.
-    pub staying: Spread,
+    pub committed_after_wave: DomainSpread,
     /// All instances of the pool by zone, whatever their phase.
-    pub members: Vec<BTreeSet<InstanceIx>>,
+    pub members_by_zone: Vec<BTreeSet<InstanceIx>>,
 }
 
 impl Pool {
     /// [`PoolTarget::margin`] of the pool's own target.
-    pub fn margin(&self, spread: &Spread) -> i64 {
+    pub fn margin(&self, spread: &DomainSpread) -> i64 {
         self.target.margin(spread)
     }
 
     /// The margin if the need were what it may become before a maintenance step ends.
-    pub fn cautious_margin(&self, spread: &Spread) -> i64 {
+    pub fn cautious_margin(&self, spread: &DomainSpread) -> i64 {
         let need = self.target.cautious_need;
         PoolTarget { need, ..self.target }.margin(spread)
     }
 
     /// Committed instances in the failure domains of `place`, the surviving kind first. Those that
     /// a wave takes out don't count while others take their places.
-    pub fn load_at(&self, place: &Place) -> (u32, u32, u32) {
-        let spread = if self.wave_extra > 0 { &self.staying } else { &self.committed };
-        let (zone, switch, rack) = spread.at(place);
+    pub fn load_at(&self, location: &Location) -> (u32, u32, u32) {
+        let spread = if self.wave_surge > 0 { &self.committed_after_wave } else { &self.committed };
+        let (zone, switch, rack) = spread.counts_at(location);
         match self.target.survive {
             Domain::Instance | Domain::Zone => (zone, switch, rack),
             Domain::Switch => (switch, rack, zone),
@@ -199,8 +204,8 @@
     }
 
     /// Instances that the pool still waits for, so that a wave can go through it.
-    pub fn missing_for_wave(&self) -> u32 {
-        let wanted = if self.wave_extra > 0 { self.wave_base + self.wave_extra } else { 0 };
+    pub fn missing_surge(&self) -> u32 {
+        let wanted = if self.wave_surge > 0 { self.wave_baseline + self.wave_surge } else { 0 };
         wanted.saturating_sub(self.committed.total())
     }
 
@@ -228,22 +233,27 @@
     pub fn add_pool(&mut self, target: PoolTarget) -> PoolIx {
         self.pools.push(Pool {
             target,
-            wave_extra: 0,
-            wave_base: 0,
-            lent: 0,
-            serving: Spread::default(),
-            committed: Spread::default(),
-            staying: Spread::default(),
-            members: Vec::new(),
+            wave_surge: 0,
+            wave_baseline: 0,
+            surge_to_return: 0,
+            serving: DomainSpread::default(),
+            committed: DomainSpread::default(),
+            committed_after_wave: DomainSpread::default(),
+            members_by_zone: Vec::new(),
         });
         self.pools.len() as PoolIx - 1
     }
 
     /// Adds a free instance.
-    pub fn add_instance(&mut self, place: Place) -> InstanceIx {
+    pub fn add_instance(&mut self, location: Location) -> InstanceIx {
         let ix = self.instances.len() as InstanceIx;
-        self.instances.push(Instance { place, pool: None, phase: Phase::Free, awaits_wave: false });
-        set_at(&mut self.free, place.zone).insert(ix);
+        self.instances.push(Instance {
+            location,
+            pool: None,
+            phase: Phase::Free,
+            awaits_maintenance: false,
+        });
+        set_at(&mut self.free, location.zone).insert(ix);
         ix
     }
 
@@ -264,23 +274,23 @@
 
     /// Asks for instances on top of what the pool has while a wave goes through it. With none the
     /// pool owes back what it got.
-    pub fn set_wave_extra(&mut self, ix: PoolIx, extra: u32) {
+    pub fn set_wave_surge(&mut self, ix: PoolIx, extra: u32) {
         let pool = &mut self.pools[ix as usize];
-        if pool.wave_extra == 0 {
+        if pool.wave_surge == 0 {
             // What a wave takes out must not endanger the need that may come before it is back.
             let shortfall = -pool.cautious_margin(&pool.committed).min(0);
-            pool.wave_base = pool.committed.total() + shortfall as u32;
+            pool.wave_baseline = pool.committed.total() + shortfall as u32;
         }
         if extra == 0 {
-            pool.lent = pool.committed.total().saturating_sub(pool.wave_base);
+            pool.surge_to_return = pool.committed.total().saturating_sub(pool.wave_baseline);
         }
-        pool.wave_extra = extra;
+        pool.wave_surge = extra;
     }
 
     /// Notes that a pool gave an instance back that it got for a wave.
-    pub fn give_back(&mut self, ix: PoolIx) {
+    pub fn note_surge_returned(&mut self, ix: PoolIx) {
         let pool = &mut self.pools[ix as usize];
-        pool.lent = pool.lent.saturating_sub(1);
+        pool.surge_to_return = pool.surge_to_return.saturating_sub(1);
     }
 
     /// All instances.
@@ -294,7 +304,7 @@
     }
 
     /// Free instances by zone.
-    pub fn free(&self) -> &[BTreeSet<InstanceIx>] {
+    pub fn free_by_zone(&self) -> &[BTreeSet<InstanceIx>] {
         &self.free
     }
 
@@ -304,7 +314,7 @@
     }
 
     /// Puts an instance into another phase or pool; every index follows.
-    pub fn set(&mut self, ix: InstanceIx, pool: Option<PoolIx>, phase: Phase) {
+    pub fn assign(&mut self, ix: InstanceIx, pool: Option<PoolIx>, phase: Phase) {
         debug_assert_eq!(pool.is_none(), matches!(phase, Phase::Free) || pool.is_none());
         self.unlist(ix);
         let instance = &mut self.instances[ix as usize];
@@ -314,70 +324,73 @@
     }
 
     /// Notes whether a wave still has to take an instance out.
-    pub fn set_awaits_wave(&mut self, ix: InstanceIx, awaits_wave: bool) {
-        if self.instance(ix).awaits_wave == awaits_wave {
+    pub fn set_awaits_maintenance(&mut self, ix: InstanceIx, awaits_maintenance: bool) {
+        if self.instance(ix).awaits_maintenance == awaits_maintenance {
             return;
         }
         self.unlist(ix);
-        self.instances[ix as usize].awaits_wave = awaits_wave;
+        self.instances[ix as usize].awaits_maintenance = awaits_maintenance;
         self.list(ix);
     }
 
     fn unlist(&mut self, ix: InstanceIx) {
-        let Instance { place, pool, phase, awaits_wave } = self.instances[ix as usize].clone();
+        let Instance { location, pool, phase, awaits_maintenance } =
+            self.instances[ix as usize].clone();
         match pool {
             None => {
-                set_at(&mut self.free, place.zone).remove(&ix);
+                set_at(&mut self.free, location.zone).remove(&ix);
             }
             Some(pool) => {
                 let pool = &mut self.pools[pool as usize];
-                set_at(&mut pool.members, place.zone).remove(&ix);
+                set_at(&mut pool.members_by_zone, location.zone).remove(&ix);
                 if phase == Phase::Serving {
-                    pool.serving.remove(&place);
+                    pool.serving.remove(&location);
                 }
                 if is_committed(phase) {
-                    pool.committed.remove(&place);
+                    pool.committed.remove(&location);
                 }
-                if is_committed(phase) && !awaits_wave {
-                    pool.staying.remove(&place);
+                if is_committed(phase) && !awaits_maintenance {
+                    pool.committed_after_wave.remove(&location);
                 }
             }
         }
     }
 
     fn list(&mut self, ix: InstanceIx) {
-        let Instance { place, pool, phase, awaits_wave } = self.instances[ix as usize].clone();
+        let Instance { location, pool, phase, awaits_maintenance } =
+            self.instances[ix as usize].clone();
         match pool {
             None if phase == Phase::Free => {
-                set_at(&mut self.free, place.zone).insert(ix);
+                set_at(&mut self.free, location.zone).insert(ix);
             }
             None => {}
             Some(pool) => {
                 let pool = &mut self.pools[pool as usize];
-                set_at(&mut pool.members, place.zone).insert(ix);
+                set_at(&mut pool.members_by_zone, location.zone).insert(ix);
                 if phase == Phase::Serving {
-                    pool.serving.add(&place);
+                    pool.serving.add(&location);
                 }
                 if is_committed(phase) {
-                    pool.committed.add(&place);
+                    pool.committed.add(&location);
                 }
-                if is_committed(phase) && !awaits_wave {
-                    pool.staying.add(&place);
+                if is_committed(phase) && !awaits_maintenance {
+                    pool.committed_after_wave.add(&location);
                 }
             }
         }
     }
 
     /// Whether the pool of `ix` keeps its target, and survives its worst domain, without it.
-    pub fn can_spare(&self, ix: InstanceIx) -> bool {
+    pub fn can_take_out(&self, ix: InstanceIx) -> bool {
         let instance = self.instance(ix);
         let Some(pool) = instance.pool.map(|pool| self.pool(pool)) else { return true };
         if instance.phase != Phase::Serving {
             return true;
         }
-        let eased = i64::from(pool.serving.eases_worst(pool.target.survive, &instance.place));
+        let eased =
+            i64::from(pool.serving.reduces_worst_loss(pool.target.survive, &instance.location));
         let now = i64::from(pool.serving.total()) - i64::from(pool.target.cautious_need);
-        let worst = i64::from(pool.serving.worst(pool.target.survive));
+        let worst = i64::from(pool.serving.worst_loss(pool.target.survive));
         let after_loss = now - worst + eased + i64::from(pool.target.may_lose);
         after_loss.min(now + i64::from(pool.target.may_lose)) >= 1
     }
--- a/crates/jackdawpier_capacity/src/forecast.rs
+++ b/crates/jackdawpier_capacity/src/forecast.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use crate::{
-    demand::{DayKind, Demand},
+    demand::{DayKind, DemandPattern},
     planner::Ceilings,
 };
 
@@ -29,25 +29,25 @@
     /// At the most before a maintenance step that starts now has ended.
     pub cautious_need: u32,
     /// Before long, so that nothing is given up that is needed again at once.
-    pub later: u32,
+    pub later_need: u32,
 }
 
 /// Forecasts the needs of a pool whose need is `present` now. `time` counts from some midnight;
 /// `kind_of` tells the kind of the day of a time.
 pub fn forecast(
-    demand: &Demand,
+    demand: &DemandPattern,
     present: u32,
     time: Duration,
     kind_of: impl Fn(Duration) -> DayKind,
     ceilings: &Ceilings,
 ) -> Forecast {
-    let expected = |ahead: Duration, caution: f64| {
+    let expected = |ahead: Duration, safety_factor: f64| {
         let (today, then) = (kind_of(time), kind_of(time + ahead));
         if today == then {
-            return demand.expected(time, time + ahead, today, caution);
+            return demand.max_expected(time, time + ahead, today, safety_factor);
         }
-        let before = demand.expected(time, time, today, caution);
-        before.max(demand.expected(time, time + ahead, then, caution))
+        let before = demand.max_expected(time, time, today, safety_factor);
+        before.max(demand.max_expected(time, time + ahead, then, safety_factor))
     };
     let shrink_ahead =
         if ceilings.buffer_instances.is_some() { SHRINK_AHEAD_PROMPT } else { SHRINK_AHEAD };
@@ -55,6 +55,6 @@
     Forecast {
         need,
         cautious_need: need.max(expected(STEP_AHEAD, STEP_CAUTION)),
-        later: expected(shrink_ahead, SHRINK_CAUTION),
+        later_need: expected(shrink_ahead, SHRINK_CAUTION),
     }
 }
--- a/crates/jackdawpier_capacity/src/lib.rs
+++ b/crates/jackdawpier_capacity/src/lib.rs
@@ -10,9 +10,9 @@
 pub mod explain;
 pub mod fleet;
 pub mod forecast;
-pub mod lending;
 pub mod planner;
 pub mod reason;
+pub mod surge;
 pub mod wave;
 
 /// Index of an instance in its [`fleet::Fleet`].
--- a/crates/jackdawpier_capacity/src/planner.rs
+++ b/crates/jackdawpier_capacity/src/planner.rs
@@ -39,13 +39,13 @@
 
 /// What the planner must know of a pool besides its present state.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Outlook {
+pub struct ShrinkPolicy {
     /// The need that the pool will have before long.
-    pub later: u32,
+    pub later_need: u32,
     /// Whether it may not shrink, because a wave goes through it and uses its slack.
-    pub is_held: bool,
+    pub is_blocked: bool,
     /// Whether it gives a surplus up at once, because others wait for instances.
-    pub is_prompt: bool,
+    pub is_immediate: bool,
 }
 
 /// How long a surplus must last before it is given up.
@@ -63,7 +63,7 @@
     shrinks_today: u32,
     day: u64,
     /// Candidates looked at so far, the measure of work for regression bounds.
-    pub candidates_seen: u64,
+    pub candidates_examined: u64,
 }
 
 impl Planner {
@@ -78,7 +78,7 @@
     }
 
     /// Notes that a pool's target, members or forecast changed.
-    pub fn touch(&mut self, pool: PoolIx) {
+    pub fn mark_changed(&mut self, pool: PoolIx) {
         self.dirty.insert(pool);
     }
 
@@ -88,15 +88,15 @@
         &mut self,
         now: Now,
         fleet: &mut Fleet,
-        outlook: impl Fn(PoolIx) -> Outlook,
+        policy_of: impl Fn(PoolIx) -> ShrinkPolicy,
     ) -> Vec<Move> {
         self.start_day(now);
         let mut moves = Vec::new();
         for pool in std::mem::take(&mut self.dirty) {
             self.grow(fleet, pool, &mut moves);
-            let outlook = outlook(pool);
-            if !outlook.is_held {
-                self.shrink(now, fleet, pool, outlook, &mut moves);
+            let policy = policy_of(pool);
+            if !policy.is_blocked {
+                self.shrink(now, fleet, pool, policy, &mut moves);
             }
         }
         self.dirty.extend(self.unmet.drain(..));
@@ -115,7 +115,7 @@
         loop {
             let pool = fleet.pool(ix);
             let margin = pool.margin(&pool.committed);
-            if margin >= 0 && pool.missing_for_wave() == 0 {
+            if margin >= 0 && pool.missing_surge() == 0 {
                 return;
             }
             let is_short = pool.committed.total() < pool.target.need;
@@ -128,7 +128,7 @@
                 self.unmet.push(ix);
                 return;
             };
-            fleet.set(instance, Some(ix), Phase::Warming);
+            fleet.assign(instance, Some(ix), Phase::Warming);
             moves.push(Move { instance, to: Some(ix), reason });
         }
     }
@@ -137,18 +137,25 @@
     /// would bring the pool nearer to its target.
     fn choose_free(&mut self, fleet: &Fleet, ix: PoolIx) -> Option<InstanceIx> {
         let pool = fleet.pool(ix);
-        let per_zone = (MAX_CANDIDATES / fleet.free().len().max(1)).max(2);
-        let candidates: Vec<InstanceIx> =
-            fleet.free().iter().flat_map(|zone| zone.iter().take(per_zone)).copied().collect();
-        self.candidates_seen += candidates.len() as u64;
-        let place = |instance: &InstanceIx| &fleet.instance(*instance).place;
+        let per_zone = (MAX_CANDIDATES / fleet.free_by_zone().len().max(1)).max(2);
+        let candidates: Vec<InstanceIx> = fleet
+            .free_by_zone()
+            .iter()
+            .flat_map(|zone| zone.iter().take(per_zone))
+            .copied()
+            .collect();
+        self.candidates_examined += candidates.len() as u64;
+        let location = |instance: &InstanceIx| &fleet.instance(*instance).location;
         let best = candidates
             .iter()
-            .min_by_key(|ix| (fleet.instance(**ix).awaits_wave, pool.load_at(place(ix)), **ix))
+            .min_by_key(|ix| {
+                (fleet.instance(**ix).awaits_maintenance, pool.load_at(location(ix)), **ix)
+            })
             .copied()?;
         // One more in the worst domain helps only if others can follow in another domain.
-        let is_worst = pool.load_at(place(&best)).0 >= pool.committed.worst(pool.target.survive);
-        let domain = |instance: &InstanceIx| place(instance).domain(pool.target.survive);
+        let is_worst =
+            pool.load_at(location(&best)).0 >= pool.committed.worst_loss(pool.target.survive);
+        let domain = |instance: &InstanceIx| location(instance).domain(pool.target.survive);
         let has_other = candidates.iter().any(|other| domain(other) != domain(&best));
         let is_short = pool.committed.total() < pool.target.need;
         (is_short || !is_worst || has_other).then_some(best)
@@ -159,30 +166,30 @@
         now: Now,
         fleet: &mut Fleet,
         ix: PoolIx,
-        outlook: Outlook,
+        policy: ShrinkPolicy,
         moves: &mut Vec<Move>,
     ) {
-        let later = outlook.later;
+        let later_need = policy.later_need;
         if self.surplus_since.len() <= ix as usize {
             self.surplus_since.resize(ix as usize + 1, None);
         }
-        let Some(instance) = Self::choose_surplus(fleet, ix, later) else {
+        let Some(instance) = Self::choose_surplus(fleet, ix, later_need) else {
             self.surplus_since[ix as usize] = None;
             return;
         };
         let since = *self.surplus_since[ix as usize].get_or_insert(now);
-        let is_lent = |fleet: &Fleet| outlook.is_prompt || fleet.pool(ix).lent > 0;
+        let is_lent = |fleet: &Fleet| policy.is_immediate || fleet.pool(ix).surge_to_return > 0;
         let lasts = if is_lent(fleet) { Duration::ZERO } else { SURPLUS_LASTS };
         if now < since + lasts {
             return;
         }
         let mut next = Some(instance);
         while let Some(instance) = next.filter(|_| is_lent(fleet) || self.may_move()) {
-            self.shrinks_today += u32::from(fleet.pool(ix).lent == 0);
-            fleet.give_back(ix);
-            fleet.set(instance, Some(ix), Phase::Draining);
+            self.shrinks_today += u32::from(fleet.pool(ix).surge_to_return == 0);
+            fleet.note_surge_returned(ix);
+            fleet.assign(instance, Some(ix), Phase::Draining);
             moves.push(Move { instance, to: None, reason: MoveReason::DemandFell });
-            next = Self::choose_surplus(fleet, ix, later);
+            next = Self::choose_surplus(fleet, ix, later_need);
         }
     }
 
@@ -192,20 +199,20 @@
     }
 
     /// A serving instance that the pool can do without, now and at its `later` need.
-    fn choose_surplus(fleet: &Fleet, ix: PoolIx, later: u32) -> Option<InstanceIx> {
+    fn choose_surplus(fleet: &Fleet, ix: PoolIx, later_need: u32) -> Option<InstanceIx> {
         let pool = fleet.pool(ix);
-        let target = PoolTarget { need: pool.target.need.max(later), ..pool.target };
+        let target = PoolTarget { need: pool.target.need.max(later_need), ..pool.target };
         if target.margin(&pool.serving) < 0 {
             return None;
         }
-        let zone = pool.members.iter().max_by_key(|zone| zone.len())?;
+        let zone = pool.members_by_zone.iter().max_by_key(|zone| zone.len())?;
         zone.iter()
             .filter(|instance| fleet.instance(**instance).phase == Phase::Serving)
             .take(MAX_CANDIDATES)
-            .max_by_key(|instance| pool.serving.at(&fleet.instance(**instance).place))
+            .max_by_key(|instance| pool.serving.counts_at(&fleet.instance(**instance).location))
             .filter(|instance| {
-                let place = &fleet.instance(**instance).place;
-                target.margin_without(&pool.serving, place) >= 0
+                let location = &fleet.instance(**instance).location;
+                target.margin_without(&pool.serving, location) >= 0
             })
             .copied()
     }
--- a/crates/jackdawpier_capacity/src/wave.rs
+++ b/crates/jackdawpier_capacity/src/wave.rs
@@ -37,7 +37,7 @@
 /// What the wave has done with an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Progress {
+pub enum StepProgress {
     /// Not touched yet.
     Pending,
     /// Out, or being drained for it.
@@ -69,7 +69,7 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Wave {
     state: WaveState,
-    progress: BTreeMap<InstanceIx, Progress>,
+    progress: BTreeMap<InstanceIx, StepProgress>,
     pending: BTreeSet<InstanceIx>,
     out: BTreeSet<InstanceIx>,
     /// Those of `out` that were taken from a pool.
@@ -84,7 +84,7 @@
     /// Plans a wave over `instances`.
     pub fn new(instances: impl IntoIterator<Item = InstanceIx>) -> Self {
         let pending: BTreeSet<InstanceIx> = instances.into_iter().collect();
-        let progress = pending.iter().map(|ix| (*ix, Progress::Pending)).collect();
+        let progress = pending.iter().map(|ix| (*ix, StepProgress::Pending)).collect();
         Self {
             state: WaveState::Running,
             progress,
@@ -100,23 +100,23 @@
     /// Takes a wave over from its records.
     pub fn restore(
         state: WaveState,
-        steps: impl IntoIterator<Item = (InstanceIx, Progress, bool)>,
+        steps: impl IntoIterator<Item = (InstanceIx, StepProgress, bool)>,
     ) -> Self {
         let mut wave = Self::new([]);
         wave.state = state;
         for (ix, progress, was_serving) in steps {
             wave.progress.insert(ix, progress);
             match progress {
-                Progress::Pending => {
+                StepProgress::Pending => {
                     wave.pending.insert(ix);
                 }
-                Progress::Out => {
+                StepProgress::Out => {
                     wave.out.insert(ix);
                     if was_serving {
                         wave.out_serving.insert(ix);
                     }
                 }
-                Progress::Done | Progress::Failed => {
+                StepProgress::Done | StepProgress::Failed => {
                     wave.done += 1;
                     wave.done_serving += usize::from(was_serving);
                 }
@@ -127,7 +127,7 @@
 
     /// Adds instances that joined the fleet after the wave was planned.
     pub fn add(&mut self, ix: InstanceIx) {
-        if self.progress.insert(ix, Progress::Pending).is_none() {
+        if self.progress.insert(ix, StepProgress::Pending).is_none() {
             self.pending.insert(ix);
         }
     }
@@ -138,7 +138,7 @@
     }
 
     /// What the wave has done with an instance, if it belongs to it.
-    pub fn progress(&self, ix: InstanceIx) -> Option<Progress> {
+    pub fn progress(&self, ix: InstanceIx) -> Option<StepProgress> {
         self.progress.get(&ix).copied()
     }
 
@@ -203,7 +203,7 @@
         let canary_out = self.done_serving + self.out_serving.len();
         let mut serving_room =
             if is_canary { CANARY_INSTANCES.saturating_sub(canary_out) } else { MAX_STARTS };
-        let kept_free = free_reserve(fleet) + missing_for_wave(fleet) as usize;
+        let kept_free = free_reserve(fleet) + missing_surge(fleet) as usize;
         let mut free_room = fleet.free_count().saturating_sub(kept_free);
         let mut starts = Vec::new();
         let mut hold = None;
@@ -216,7 +216,7 @@
                 continue;
             }
             let is_ready = matches!(instance.phase, Phase::Serving | Phase::Free);
-            if !is_ready || !fleet.can_spare(ix) {
+            if !is_ready || !fleet.can_take_out(ix) {
                 hold = Some(HoldReason::Budget);
                 continue;
             }
@@ -224,11 +224,11 @@
             if pool.is_some() {
                 self.out_serving.insert(ix);
             }
-            fleet.set_awaits_wave(ix, false);
-            fleet.set(ix, pool, Phase::InMaintenance);
+            fleet.set_awaits_maintenance(ix, false);
+            fleet.assign(ix, pool, Phase::InMaintenance);
             self.pending.remove(&ix);
             self.out.insert(ix);
-            self.progress.insert(ix, Progress::Out);
+            self.progress.insert(ix, StepProgress::Out);
             starts.push(ix);
         }
         (starts, hold)
@@ -245,7 +245,7 @@
     }
 
     /// Whether the wave has instances of this pool left to do.
-    pub fn goes_through(&self, fleet: &Fleet, pool: PoolIx) -> bool {
+    pub fn has_remaining_in(&self, fleet: &Fleet, pool: PoolIx) -> bool {
         self.left_by_pool(fleet)[pool as usize] > 0
     }
 
@@ -262,34 +262,34 @@
     /// Instances that each pool should have on top, so that its own can be out. Free instances are
     /// maintained first and then take the places of a whole pool, so that one step gets through it;
     /// where they are too few, every pool has its part of them.
-    pub fn extras(&self, fleet: &Fleet) -> Vec<u32> {
+    pub fn surge_by_pool(&self, fleet: &Fleet) -> Vec<u32> {
         let left = self.left_by_pool(fleet);
         if self.state != WaveState::Running {
             return vec![0; left.len()];
         }
         if self.done == 0 {
-            return self.extras_for_canary(fleet, &left);
+            return self.canary_surge_by_pool(fleet, &left);
         }
-        let promised: u32 = fleet.pools().iter().map(|pool| pool.wave_extra).sum();
-        let granted = promised.saturating_sub(missing_for_wave(fleet));
+        let promised: u32 = fleet.pools().iter().map(|pool| pool.wave_surge).sum();
+        let granted = promised.saturating_sub(missing_surge(fleet));
         proportional(&left, fleet.free_count() as u32 + granted)
     }
 
     /// One for the pool that is nearest to it, if no pool can spare an instance for the canary.
-    fn extras_for_canary(&self, fleet: &Fleet, left: &[u32]) -> Vec<u32> {
-        let mut extras = vec![0; left.len()];
-        let can_spare =
-            |ix: &&InstanceIx| fleet.instance(**ix).pool.is_some() && fleet.can_spare(**ix);
+    fn canary_surge_by_pool(&self, fleet: &Fleet, left: &[u32]) -> Vec<u32> {
+        let mut surge_by_pool = vec![0; left.len()];
+        let can_take_out =
+            |ix: &&InstanceIx| fleet.instance(**ix).pool.is_some() && fleet.can_take_out(**ix);
         let has_canary =
-            !self.out_serving.is_empty() || self.pending.iter().any(|ix| can_spare(&ix));
+            !self.out_serving.is_empty() || self.pending.iter().any(|ix| can_take_out(&ix));
         let margin = |pool: &Pool| pool.cautious_margin(&pool.committed);
         let nearest = (0..left.len())
             .filter(|ix| left[*ix] > 0)
             .max_by_key(|ix| (margin(&fleet.pools()[*ix]), Reverse(*ix)));
         if !has_canary && let Some(pool) = nearest {
-            extras[pool] = 1;
+            surge_by_pool[pool] = 1;
         }
-        extras
+        surge_by_pool
     }
 
     /// Pending instances, those first whose loss makes the worst domain smaller: the wave then
@@ -297,8 +297,8 @@
     fn order(&self, fleet: &Fleet) -> Vec<InstanceIx> {
         let mut order: Vec<InstanceIx> = self.pending.iter().copied().collect();
         order.sort_by_key(|ix| {
-            let place = fleet.instance(*ix).place;
-            (place.zone, place.switch, place.rack, *ix)
+            let location = fleet.instance(*ix).location;
+            (location.zone, location.switch, location.rack, *ix)
         });
         order
     }
@@ -313,7 +313,7 @@
         if !self.out.remove(&ix) {
             return;
         }
-        let progress = if is_healthy { Progress::Done } else { Progress::Failed };
+        let progress = if is_healthy { StepProgress::Done } else { StepProgress::Failed };
         self.progress.insert(ix, progress);
         self.done += 1;
         self.done_serving += usize::from(self.out_serving.remove(&ix));
@@ -338,7 +338,7 @@
     }
 
     /// Drops an instance that left the fleet.
-    pub fn drop_instance(&mut self, ix: InstanceIx) {
+    pub fn remove_instance(&mut self, ix: InstanceIx) {
         self.progress.remove(&ix);
         self.pending.remove(&ix);
         self.out.remove(&ix);
@@ -347,8 +347,8 @@
 }
 
 /// Free instances that pools still wait for, so that the wave can go through them.
-fn missing_for_wave(fleet: &Fleet) -> u32 {
-    fleet.pools().iter().map(Pool::missing_for_wave).sum()
+fn missing_surge(fleet: &Fleet) -> u32 {
+    fleet.pools().iter().map(Pool::missing_surge).sum()
 }
 
 /// All of `wanted` if they are no more than `available`, else the same part of each, and one where
@@ -360,7 +360,7 @@
     (1..=PARTS)
         .rev()
         .map(part)
-        .find(|extras| extras.iter().sum::<u32>() <= available)
+        .find(|surge_by_pool| surge_by_pool.iter().sum::<u32>() <= available)
         .unwrap_or_else(|| one_each(wanted, available))
 }
 
--- a/crates/jackdawpier_proofs/tests/budgets.rs
+++ b/crates/jackdawpier_proofs/tests/budgets.rs
@@ -3,8 +3,8 @@
 use jackdawpier_capacity::{
     InstanceIx,
     escrow::Allowance,
-    fleet::{Fleet, Phase, Place, PoolTarget},
-    planner::{Ceilings, Outlook, Planner},
+    fleet::{Fleet, Location, Phase, PoolTarget},
+    planner::{Ceilings, Planner, ShrinkPolicy},
     wave::{Wave, WaveState},
 };
 use jackdawpier_kernel::Now;
@@ -26,7 +26,7 @@
     for ix in 0..random.random_range(40..120_u32) {
         let zone = ix % zones;
         let rack = (ix / zones / 4) * zones + zone;
-        fleet.add_instance(Place { zone, switch: rack / 2, rack });
+        fleet.add_instance(Location { zone, switch: rack / 2, rack });
     }
     for _ in 0..POOLS {
         let need = random.random_range(1..10);
@@ -46,11 +46,11 @@
 /// its kind, counted by hand from the instances.
 fn worst_case(fleet: &Fleet, pool: u32) -> i64 {
     let target = fleet.pool(pool).target;
-    let serving: Vec<&Place> = fleet
+    let serving: Vec<&Location> = fleet
         .instances()
         .iter()
         .filter(|i| i.pool == Some(pool) && i.phase == Phase::Serving)
-        .map(|i| &i.place)
+        .map(|i| &i.location)
         .collect();
     let total = serving.len() as i64;
     let worst = match target.survive {
@@ -67,11 +67,11 @@
 }
 
 fn replan(fleet: &mut Fleet, planner: &mut Planner) {
-    (0..POOLS).for_each(|pool| planner.touch(pool));
-    for decided in
-        planner.replan(Now::ZERO, fleet, |_| Outlook { is_held: true, ..Outlook::default() })
+    (0..POOLS).for_each(|pool| planner.mark_changed(pool));
+    for decided in planner
+        .replan(Now::ZERO, fleet, |_| ShrinkPolicy { is_blocked: true, ..ShrinkPolicy::default() })
     {
-        fleet.set(decided.instance, decided.to, Phase::Serving);
+        fleet.assign(decided.instance, decided.to, Phase::Serving);
     }
 }
 
@@ -89,10 +89,10 @@
         let (starts, _) = wave.start_steps(&mut fleet);
         if ignores_budget && step == 5 {
             let victim = (0..count)
-                .find(|ix| fleet.instance(*ix).phase == Phase::Serving && !fleet.can_spare(*ix));
+                .find(|ix| fleet.instance(*ix).phase == Phase::Serving && !fleet.can_take_out(*ix));
             if let Some(ix) = victim {
                 let pool = fleet.instance(ix).pool;
-                fleet.set(ix, pool, Phase::InMaintenance);
+                fleet.assign(ix, pool, Phase::InMaintenance);
             }
         }
         for pool in 0..POOLS {
@@ -109,18 +109,18 @@
         for ix in ended {
             let pool = fleet.instance(ix).pool;
             let phase = if pool.is_some() { Phase::Serving } else { Phase::Free };
-            fleet.set(ix, pool, phase);
+            fleet.assign(ix, pool, phase);
             wave.finish_step(ix, true);
         }
         if random.random_range(0..10) == 0 {
             let ix = random.random_range(0..count);
             if matches!(fleet.instance(ix).phase, Phase::Serving | Phase::Free) {
-                fleet.set(ix, None, Phase::Down);
+                fleet.assign(ix, None, Phase::Down);
             }
         }
         for ix in 0..count {
             if fleet.instance(ix).phase == Phase::Down && random.random_range(0..10) == 0 {
-                fleet.set(ix, None, Phase::Free);
+                fleet.assign(ix, None, Phase::Free);
             }
         }
         replan(&mut fleet, &mut planner);
@@ -185,7 +185,7 @@
         if !under_way.is_empty() && random.random_bool(0.7) {
             let at = random.random_range(0..under_way.len());
             let (taker, id, count) = under_way[at];
-            holders[taker].take_in(id, count);
+            holders[taker].receive(id, count);
             // The answer may be lost: the transfer is then sent again.
             if random.random_bool(0.5) {
                 holders[1 - taker].confirm(id);
@@ -198,7 +198,7 @@
         if random.random_bool(0.5) {
             steps += u32::from(holders[spender].spend().is_ok());
         } else {
-            holders[spender].give_back();
+            holders[spender].refund();
         }
         let spent: u32 = holders.iter().map(|holder| holder.spent).sum();
         if spent > BUDGET {
--- a/crates/jackdawpierd/src/capacity.rs
+++ b/crates/jackdawpierd/src/capacity.rs
@@ -19,8 +19,8 @@
     explain::{Explanation, explain},
     fleet::{Fleet, Phase},
     forecast::Forecast,
-    lending::lend,
-    planner::{Ceilings, Outlook, Planner},
+    planner::{Ceilings, Planner, ShrinkPolicy},
+    surge::request_surge,
     wave::{Wave, WaveState},
 };
 use jackdawpier_coord::{
@@ -380,7 +380,7 @@
         let Some(held) = &mut self.held else { return };
         let Some(wave) = &mut held.wave else { return };
         let state_before = wave.state();
-        lend(wave, &mut self.fleet, &mut self.planner);
+        request_surge(wave, &mut self.fleet, &mut self.planner);
         let phases: HashMap<InstanceIx, Phase> =
             self.by_id.values().map(|ix| (*ix, self.fleet.instance(*ix).phase)).collect();
         let (starts, held_by) = wave.start_steps(&mut self.fleet);
@@ -400,16 +400,19 @@
     fn plan_moves(&mut self, now: Now, forecasts: &HashMap<PoolIx, Forecast>) {
         let Some(held) = &mut self.held else { return };
         let wave = held.wave.as_ref().filter(|wave| wave.state() == WaveState::Running);
-        let outlooks: HashMap<PoolIx, Outlook> = forecasts
+        let outlooks: HashMap<PoolIx, ShrinkPolicy> = forecasts
             .iter()
             .map(|(pool, forecast)| {
-                let is_held = wave.is_some_and(|wave| wave.goes_through(&self.fleet, *pool));
-                let later = forecast.later;
-                (*pool, Outlook { later, is_held, is_prompt: false })
+                let is_held = wave.is_some_and(|wave| wave.has_remaining_in(&self.fleet, *pool));
+                let later = forecast.later_need;
+                (
+                    *pool,
+                    ShrinkPolicy { later_need: later, is_blocked: is_held, is_immediate: false },
+                )
             })
             .collect();
         // A pool without a forecast is one whose declaration is gone; it is left as it is.
-        let unknown = Outlook { is_held: true, ..Outlook::default() };
+        let unknown = ShrinkPolicy { is_blocked: true, ..ShrinkPolicy::default() };
         let outlook = |pool: PoolIx| outlooks.get(&pool).copied().unwrap_or(unknown);
         for decided in self.planner.replan(now, &mut self.fleet, outlook) {
             let to = decided.to.and_then(|pool| {
--- a/crates/jackdawpierd/src/capacity/fleet_view.rs
+++ b/crates/jackdawpierd/src/capacity/fleet_view.rs
@@ -9,7 +9,7 @@
 use jackdawpier_capacity::{
     InstanceIx, PoolIx,
     demand::DayKind,
-    fleet::{Phase, Place, PoolTarget},
+    fleet::{Location, Phase, PoolTarget},
     forecast::{Forecast, forecast},
 };
 use jackdawpier_kernel::instance::{FREE_POOL, Instance, State as InstanceState};
@@ -80,7 +80,7 @@
             let target = PoolTarget { need, cautious_need, ..*peak };
             if self.fleet.pool(*pool).target != target {
                 self.fleet.set_target(*pool, target);
-                self.planner.touch(*pool);
+                self.planner.mark_changed(*pool);
             }
             forecasts.insert(*pool, forecast);
         }
@@ -106,8 +106,8 @@
             let known = self.fleet.instance(ix);
             if (known.pool, known.phase) != (pool, phase) {
                 let before = known.pool;
-                self.fleet.set(ix, pool, phase);
-                before.into_iter().chain(pool).for_each(|pool| self.planner.touch(pool));
+                self.fleet.assign(ix, pool, phase);
+                before.into_iter().chain(pool).for_each(|pool| self.planner.mark_changed(pool));
             }
         }
         let present: std::collections::HashSet<&str> = instances.iter().map(|i| &*i.id).collect();
@@ -120,9 +120,9 @@
             .collect();
         for ix in gone {
             if let Some(pool) = self.fleet.instance(ix).pool {
-                self.planner.touch(pool);
+                self.planner.mark_changed(pool);
             }
-            self.fleet.set(ix, None, Phase::Down);
+            self.fleet.assign(ix, None, Phase::Down);
         }
     }
 
@@ -132,7 +132,7 @@
             *self.domains.entry(format!("{kind}/{name}")).or_insert(next)
         };
         let rack_name = format!("{}/{}", instance.zone, instance.rack);
-        let place = Place {
+        let place = Location {
             zone: domain("zone", &instance.zone),
             switch: domain("switch", &instance.zone),
             rack: domain("rack", &rack_name),
--- a/crates/jackdawpierd/src/capacity/held.rs
+++ b/crates/jackdawpierd/src/capacity/held.rs
@@ -8,10 +8,10 @@
 
 use jackdawpier_capacity::{
     InstanceIx,
-    demand::{Demand, SLOT},
+    demand::{DemandPattern, SLOT_LENGTH},
     fleet::PoolTarget,
     reason::HoldReason,
-    wave::{Progress, Wave, WaveState},
+    wave::{StepProgress, Wave, WaveState},
 };
 use jackdawpier_coord::cell::Cell;
 use jackdawpier_kernel::{
@@ -45,7 +45,7 @@
     /// Whether a wave was read from the records and not filled yet.
     pub(super) has_recovered_wave: bool,
     /// Ends of the present wave's orders, from records read before the fleet was known.
-    pub(super) recovered: Vec<(Arc<str>, Progress, bool)>,
+    pub(super) recovered: Vec<(Arc<str>, StepProgress, bool)>,
     pub(super) orders: HashMap<Arc<str>, Pending>,
     pub(super) hold: Option<HoldReason>,
     pub(super) next_order: u64,
@@ -60,7 +60,7 @@
 }
 
 pub(super) struct LearnedDemand {
-    pub(super) demand: Demand,
+    pub(super) demand: DemandPattern,
     pub(super) slot: u64,
     /// Whether this holder has seen the slot from its start.
     pub(super) is_whole: bool,
@@ -79,13 +79,13 @@
         order: Order,
         wave: u64,
         was_serving: bool,
-        end: Option<Progress>,
+        end: Option<StepProgress>,
     },
     /// Sums of one day.
     Day(DayMeasures),
     Demand {
         service: Arc<str>,
-        demand: Demand,
+        demand: DemandPattern,
     },
 }
 
@@ -116,7 +116,7 @@
         for (order, wave, was_serving, end) in orders {
             let id = Arc::clone(&order.instance);
             if wave == self.wave_id && wave > 0 {
-                let progress = end.unwrap_or(Progress::Out);
+                let progress = end.unwrap_or(StepProgress::Out);
                 self.recovered.push((Arc::clone(&id), progress, was_serving));
             }
             if end.is_none() {
@@ -138,11 +138,11 @@
 
     /// Learns the demand of each slot that has ended, and makes it durable.
     pub(super) fn learn(&mut self, peaks: &BTreeMap<Arc<str>, PoolTarget>, inputs: &Inputs) {
-        let slot = inputs.since_epoch.as_secs() / SLOT.as_secs();
+        let slot = inputs.since_epoch.as_secs() / SLOT_LENGTH.as_secs();
         for (service, peak) in peaks {
             let milli = inputs.demand_milli.get(service).copied().unwrap_or(0);
             let learned = self.demands.entry(Arc::clone(service)).or_insert_with(|| {
-                let demand = Demand::new(peak.need);
+                let demand = DemandPattern::new(peak.need);
                 LearnedDemand { demand, slot, is_whole: false, largest_milli: 0 }
             });
             learned.demand.set_peak(peak.need);
@@ -150,7 +150,7 @@
                 // A slot that this holder has not seen from its start to its end teaches nothing.
                 let is_next = learned.slot + 1 == slot;
                 if is_next && learned.is_whole && learned.largest_milli > 0 {
-                    let start = SLOT * u32::try_from(learned.slot).unwrap_or(u32::MAX);
+                    let start = SLOT_LENGTH * u32::try_from(learned.slot).unwrap_or(u32::MAX);
                     let demand = f64::from(learned.largest_milli) / f64::from(MILLI);
                     learned.demand.observe(start, day_kind(start), demand);
                     let record = CapacityRecord::Demand {
@@ -174,7 +174,7 @@
         }
         self.has_recovered_wave = false;
         let Some(wave) = &mut self.wave else { return };
-        let steps: Vec<(InstanceIx, Progress, bool)> = self
+        let steps: Vec<(InstanceIx, StepProgress, bool)> = self
             .recovered
             .drain(..)
             .filter_map(|(id, progress, was_serving)| {
@@ -216,7 +216,7 @@
 
     pub(super) fn end_order(&mut self, id: &Arc<str>, is_done: bool, ix: Option<InstanceIx>) {
         let Some(pending) = self.orders.remove(id) else { return };
-        let progress = if is_done { Progress::Done } else { Progress::Failed };
+        let progress = if is_done { StepProgress::Done } else { StepProgress::Failed };
         let subject = order_subject(&pending.order);
         let record = CapacityRecord::Order {
             order: pending.order,
