--- a/crates/jackdawpier_bench/src/coordination.rs
+++ b/crates/jackdawpier_bench/src/coordination.rs
@@ -111,10 +111,10 @@
 impl Owner {
     fn submit(&mut self, step: u64, now: Now, ticket: u64, waits: &mut (u64, u64)) {
         let key: RequestKey = format!("k/export/key-{ticket}").into();
-        if let Decision::Record { state } = self.dedupe.begin(&key, ticket, ticket)
+        if let Decision::WriteIntent { state } = self.dedupe.begin(&key, ticket, ticket)
             && let Some(number) = self.cell.put(Arc::clone(&key), &state)
         {
-            self.dedupe.recording(number, ticket, &key);
+            self.dedupe.on_intent_write_queued(number, ticket, &key);
             self.keys.insert(ticket, (key, step));
         }
         let outputs = self.cell.tick(now);
@@ -142,9 +142,9 @@
                 body: b"{}".to_vec(),
             };
             let outcome = jackdawpier_kernel::outcome::Outcome::Answered(answer);
-            if let Some((state, _)) = self.dedupe.end(now, &key, &outcome) {
+            if let Some((state, _)) = self.dedupe.record_outcome(now, &key, &outcome) {
                 let number = self.cell.put(Arc::clone(&key), &state).expect("the cell is open");
-                self.dedupe.ending(number, &key);
+                self.dedupe.on_end_write_queued(number, &key);
             }
         }
         for key in self.dedupe.expire(now) {
@@ -159,7 +159,7 @@
             match output {
                 Output::Call(request) => self.call = Some((step + STORE_STEPS, request)),
                 Output::Committed { up_to } => {
-                    for ticket in self.dedupe.committed(up_to).sendable {
+                    for ticket in self.dedupe.on_committed(up_to).sendable {
                         if let Some((key, since)) = self.keys.remove(&ticket) {
                             waits.0 += step - since;
                             waits.1 += 1;
--- a/crates/jackdawpier_bench/src/jobs.rs
+++ b/crates/jackdawpier_bench/src/jobs.rs
@@ -15,7 +15,7 @@
 use jackdawpier_kernel::{
     Now,
     ids::{JobId, WorkerId},
-    task::{Size, TaskAction, TaskReport, TaskState},
+    task::{TaskAction, TaskReport, TaskResources, TaskState},
 };
 use jackdawpier_settings::declaration::{Class, Domain, Kind};
 use rand::{RngExt, SeedableRng};
@@ -90,7 +90,7 @@
     attempt: u32,
     started_at: Now,
     ends_at: Now,
-    used: Size,
+    used: TaskResources,
     is_failing: bool,
 }
 
@@ -180,7 +180,7 @@
                 id: format!("worker-{index}").into(),
                 zone: format!("zone-{}", index % 3).into(),
                 rack: format!("rack-{}", index / 4).into(),
-                capacity: Size {
+                capacity: TaskResources {
                     cores_milli: WORKER_CORES_MILLI,
                     memory_mb: WORKER_MEMORY_MB,
                     accelerators: 0,
@@ -244,7 +244,11 @@
             class: class.into(),
             customer: format!("customer-{customer}").into(),
             is_idempotent: true,
-            declared: Size { cores_milli: declared_milli, memory_mb: 1024, accelerators: 0 },
+            declared: TaskResources {
+                cores_milli: declared_milli,
+                memory_mb: 1024,
+                accelerators: 0,
+            },
             payload: String::new(),
             attempts: 0,
             state: JobState::Queued,
@@ -371,7 +375,7 @@
             attempt: task.attempt,
             started_at: self.now,
             ends_at: self.now + Duration::from_secs(length_s),
-            used: Size { cores_milli: used_milli, memory_mb: 1024, accelerators: 0 },
+            used: TaskResources { cores_milli: used_milli, memory_mb: 1024, accelerators: 0 },
             is_failing,
         };
         let report = report_of(&task.job, &running, TaskState::Running, self.now);
@@ -438,7 +442,7 @@
 
 fn report_of(job: &JobId, task: &Running, state: TaskState, now: Now) -> TaskReport {
     let ran = now.saturating_sub(task.started_at);
-    let usage = if ran >= USAGE_LAG { task.used } else { Size::default() };
+    let usage = if ran >= USAGE_LAG { task.used } else { TaskResources::default() };
     TaskReport {
         job: job.clone(),
         attempt: task.attempt,
--- a/crates/jackdawpier_bench/src/routing.rs
+++ b/crates/jackdawpier_bench/src/routing.rs
@@ -10,7 +10,7 @@
 use hdrhistogram::Histogram;
 use jackdawpier_kernel::{Now, ids::ClassName};
 use jackdawpier_route::{
-    dispatcher::{AttemptEnd, Command, Dispatcher, RequestInfo},
+    dispatcher::{AttemptOutcome, Command, Dispatcher, RequestInfo},
     executors::ExecutorInfo,
 };
 use jackdawpier_settings::declaration::{Class, Domain, Kind};
@@ -199,7 +199,7 @@
             deadline: now + FINISH_WITHIN,
             is_idempotent: true,
         };
-        let commands = self.dispatcher.arrive(now, info);
+        let commands = self.dispatcher.submit(now, info);
         let is_refused =
             matches!(commands.first(), Some(Command::Refuse { ticket: t, .. }) if *t == ticket);
         self.admitted += u64::from(!is_refused);
@@ -207,7 +207,7 @@
     }
 
     fn end(&mut self, now: Now, ticket: u64, is_dead: bool) {
-        let end = if is_dead { AttemptEnd::NotConnected } else { AttemptEnd::Answered };
+        let end = if is_dead { AttemptOutcome::NotConnected } else { AttemptOutcome::Answered };
         if !is_dead && let Some((arrived_at, customer)) = self.arrived_at.remove(&ticket) {
             let took = now.saturating_sub(arrived_at);
             self.in_time += u64::from(took <= FINISH_WITHIN);
@@ -216,7 +216,7 @@
                 self.histogram.saturating_record(took.as_micros() as u64);
             }
         }
-        let commands = self.dispatcher.attempt_ended(now, ticket, end);
+        let commands = self.dispatcher.finish_attempt(now, ticket, end);
         self.follow(now, commands);
     }
 
--- a/crates/jackdawpier_bench/src/scale.rs
+++ b/crates/jackdawpier_bench/src/scale.rs
@@ -24,14 +24,14 @@
 use jackdawpier_kernel::{
     Now,
     ids::{ClassName, RequestKey},
-    instance::{Instance, InstanceList, Role, State},
-    task::Size,
+    instance::{Instance, InstanceList, InstanceRole, InstanceState},
+    task::TaskResources,
 };
 use jackdawpier_route::{
     dedupe::Dedupe,
-    directory::{self, place_unkeyed},
-    dispatcher::{AttemptEnd, Command, Dispatcher, RequestInfo},
+    dispatcher::{AttemptOutcome, Command, Dispatcher, RequestInfo},
     executors::ExecutorInfo,
+    routing::{self, route_unkeyed},
 };
 use jackdawpier_settings::declaration::{CeilingOptions, Class, Declaration, Domain, Kind};
 use jackdawpier_store::{Change, Record};
@@ -143,9 +143,9 @@
         deadline: now + Duration::from_secs(1),
         is_idempotent: true,
     };
-    for command in dispatcher.arrive(now, info) {
+    for command in dispatcher.submit(now, info) {
         if let Command::Send { ticket, .. } = command {
-            black_box(dispatcher.attempt_ended(now, ticket, AttemptEnd::Answered));
+            black_box(dispatcher.finish_attempt(now, ticket, AttemptOutcome::Answered));
         }
     }
 }
@@ -162,9 +162,9 @@
 }
 
 /// Chooses the deciding entry of one of four services, as seen by the first entry.
-pub fn choose_entry(view: &mut View, step: u32) -> directory::Place {
+pub fn choose_entry(view: &mut View, step: u32) -> routing::RouteTarget {
     let ranking = view.ranking(SERVICES[(step % 4) as usize]);
-    place_unkeyed(&ranking, "entry-0", false, |_| true)
+    route_unkeyed(&ranking, "entry-0", false, |_| true)
 }
 
 fn class(name: &str, service: &str) -> Class {
@@ -212,7 +212,7 @@
         class: "nightly".into(),
         customer: format!("customer-{}", index % 170).into(),
         is_idempotent: true,
-        declared: Size { cores_milli: 1_000, memory_mb: 1_024, accelerators: 0 },
+        declared: TaskResources { cores_milli: 1_000, memory_mb: 1_024, accelerators: 0 },
         payload: "{}".to_owned(),
         attempts: 0,
         state: JobState::Queued,
@@ -417,7 +417,11 @@
                     id: format!("worker-{ix}").into(),
                     zone: format!("zone-{}", ix % 47).into(),
                     rack: format!("rack-{}", ix / 4).into(),
-                    capacity: Size { cores_milli: 64_000, memory_mb: 262_144, accelerators: 2 },
+                    capacity: TaskResources {
+                        cores_milli: 64_000,
+                        memory_mb: 262_144,
+                        accelerators: 2,
+                    },
                     is_leaving: false,
                 });
             }
@@ -476,13 +480,13 @@
 fn instance(index: u32) -> Instance {
     Instance {
         id: format!("worker-{index}").into(),
-        role: Role::Worker,
+        role: InstanceRole::Worker,
         service: format!("service-{}", index % 115).into(),
         pool: format!("pool-{}", index % 115).into(),
         address: "10.0.0.1:9000".to_owned(),
         zone: format!("zone-{}", index % 47).into(),
         rack: format!("rack-{}", index / 4).into(),
-        state: State::Live,
+        state: InstanceState::Live,
         last_order: String::new(),
         slots: 8,
         connections: 64,
--- a/crates/jackdawpier_jobs/src/job.rs
+++ b/crates/jackdawpier_jobs/src/job.rs
@@ -2,7 +2,7 @@
 
 use jackdawpier_kernel::{
     ids::{ClassName, CustomerName, JobId, WorkerId},
-    task::Size,
+    task::TaskResources,
 };
 use serde::{Deserialize, Serialize};
 
@@ -18,7 +18,7 @@
     /// Whether running it twice does no harm.
     pub is_idempotent: bool,
     /// Declared size, which may be far off.
-    pub declared: Size,
+    pub declared: TaskResources,
     /// What to do, passed on to the worker.
     pub payload: String,
     /// Attempts so far.
--- a/crates/jackdawpier_jobs/src/queue.rs
+++ b/crates/jackdawpier_jobs/src/queue.rs
@@ -12,7 +12,7 @@
     Now,
     fair_queue::FairQueue,
     ids::{ClassName, JobId, Ticket, WorkerId},
-    task::{Size, StartTask, TaskAction, TaskCommand, TaskReport},
+    task::{StartTask, TaskAction, TaskCommand, TaskReport, TaskResources},
 };
 use jackdawpier_settings::declaration::Class;
 
@@ -77,7 +77,7 @@
     ticket: Ticket,
     /// Number of the write that carries the last state.
     last_write: u64,
-    reserved: Size,
+    reserved: TaskResources,
     renewed_at: Now,
     /// When its present run was ordered.
     started_at: Now,
@@ -218,7 +218,7 @@
             phase,
             ticket,
             last_write: 0,
-            reserved: Size::default(),
+            reserved: TaskResources::default(),
             renewed_at: Now::ZERO,
             started_at: Now::ZERO,
             is_stopping: false,
--- a/crates/jackdawpier_jobs/src/queue/placement.rs
+++ b/crates/jackdawpier_jobs/src/queue/placement.rs
@@ -8,7 +8,7 @@
 use jackdawpier_kernel::{
     Now,
     ids::{ClassName, JobId, WorkerId},
-    task::{Size, TaskAction},
+    task::{TaskAction, TaskResources},
 };
 
 use super::{Command, JobQueue, Live, Phase};
@@ -91,7 +91,7 @@
         Some(self.stop_all(&victims))
     }
 
-    fn claim(&mut self, id: &JobId, worker: WorkerId, reserved: Size) -> Vec<Command> {
+    fn claim(&mut self, id: &JobId, worker: WorkerId, reserved: TaskResources) -> Vec<Command> {
         self.workers.reserve(&worker, &reserved);
         let live = self.jobs.get_mut(id).expect("a queued job is known");
         live.phase = Phase::Claiming;
@@ -104,7 +104,7 @@
     }
 
     /// Idempotent tasks of much slower classes on one worker, whose end would make room for `size`.
-    fn choose_victims(&self, now: Now, name: &ClassName, size: &Size) -> Vec<JobId> {
+    fn choose_victims(&self, now: Now, name: &ClassName, size: &TaskResources) -> Vec<JobId> {
         let urgent = self.classes[name].finish_within;
         let is_victim = |live: &&Live| {
             let slower = self.classes.get(&live.job.class);
@@ -113,7 +113,7 @@
                 && live.job.is_idempotent
                 && slower.is_some_and(|class| class.finish_within >= urgent * PREEMPTION_RATIO)
         };
-        let mut by_worker: BTreeMap<&WorkerId, (Size, Vec<JobId>)> = BTreeMap::new();
+        let mut by_worker: BTreeMap<&WorkerId, (TaskResources, Vec<JobId>)> = BTreeMap::new();
         let victims = self.running.iter().filter_map(|id| self.jobs.get(id)).filter(is_victim);
         for live in victims.take(MAX_VICTIMS) {
             let Some(worker) = live.worker() else { continue };
--- a/crates/jackdawpier_jobs/src/size_estimator.rs
+++ b/crates/jackdawpier_jobs/src/size_estimator.rs
@@ -8,7 +8,7 @@
 
 use jackdawpier_kernel::{
     ids::{ClassName, CustomerName},
-    task::Size,
+    task::TaskResources,
 };
 
 const SMOOTHING: f64 = 8.0;
@@ -74,10 +74,10 @@
         &mut self,
         class: &ClassName,
         customer: &CustomerName,
-        declared: Size,
-        used: Size,
+        declared: TaskResources,
+        used: TaskResources,
     ) {
-        if used == Size::default() {
+        if used == TaskResources::default() {
             return;
         }
         let learned = self.by_owner.entry((class.clone(), customer.clone())).or_default();
@@ -89,11 +89,16 @@
 
     /// The size to reserve for a task. Memory is never reserved below what was declared until a
     /// report has come, since running out of it kills the neighbours.
-    pub fn estimate(&self, class: &ClassName, customer: &CustomerName, declared: Size) -> Size {
+    pub fn estimate(
+        &self,
+        class: &ClassName,
+        customer: &CustomerName,
+        declared: TaskResources,
+    ) -> TaskResources {
         let Some(learned) = self.by_owner.get(&(class.clone(), customer.clone())) else {
             return declared;
         };
-        Size {
+        TaskResources {
             cores_milli: scale(declared.cores_milli, learned.cores.cautious()),
             memory_mb: scale(declared.memory_mb, learned.memory.cautious()),
             accelerators: declared.accelerators,
--- a/crates/jackdawpier_jobs/src/workers.rs
+++ b/crates/jackdawpier_jobs/src/workers.rs
@@ -4,7 +4,7 @@
 
 use jackdawpier_kernel::{
     ids::{RackName, WorkerId, ZoneName},
-    task::Size,
+    task::TaskResources,
 };
 
 /// Workers looked at for one placement; bounds the work at any fleet size.
@@ -20,7 +20,7 @@
     /// Its rack.
     pub rack: RackName,
     /// What it has in all.
-    pub capacity: Size,
+    pub capacity: TaskResources,
     /// Whether it is leaving and must get no new work.
     pub is_leaving: bool,
 }
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 struct Worker {
     info: WorkerInfo,
-    used: Size,
+    used: TaskResources,
 }
 
 impl Worker {
@@ -36,7 +36,7 @@
         self.info.capacity.cores_milli.saturating_sub(self.used.cores_milli)
     }
 
-    fn fits(&self, size: &Size) -> bool {
+    fn fits(&self, size: &TaskResources) -> bool {
         let capacity = &self.info.capacity;
         !self.info.is_leaving
             && self.used.cores_milli + size.cores_milli <= capacity.cores_milli
@@ -82,7 +82,7 @@
                 worker.info = info;
                 None
             }
-            None => Some(Worker { info, used: Size::default() }),
+            None => Some(Worker { info, used: TaskResources::default() }),
         });
     }
 
@@ -94,15 +94,15 @@
     }
 
     /// Whether any worker could take `size` if it were empty.
-    pub fn fits_any_when_empty(&self, size: &Size) -> bool {
+    pub fn fits_any_when_empty(&self, size: &TaskResources) -> bool {
         self.all.values().any(|worker| {
-            let empty = Worker { info: worker.info.clone(), used: Size::default() };
+            let empty = Worker { info: worker.info.clone(), used: TaskResources::default() };
             empty.fits(size)
         })
     }
 
     /// The worker on which `size` leaves the fewest cores free, skipping those that `avoid` names.
-    pub fn best_fit(&self, size: &Size, avoid: impl Fn(&str) -> bool) -> Option<WorkerId> {
+    pub fn best_fit(&self, size: &TaskResources, avoid: impl Fn(&str) -> bool) -> Option<WorkerId> {
         let from = (size.cores_milli, WorkerId::from(""));
         let fits = |id: &&WorkerId| self.all[*id].fits(size) && !avoid(id);
         let tight = self.by_free_cores.range(from.clone()..).map(|(_, id)| id);
@@ -115,7 +115,7 @@
     }
 
     /// Reserves `size` on a worker.
-    pub fn reserve(&mut self, id: &str, size: &Size) {
+    pub fn reserve(&mut self, id: &str, size: &TaskResources) {
         self.change(id, |worker| {
             if let Some(worker) = worker {
                 worker.used.cores_milli += size.cores_milli;
@@ -127,7 +127,7 @@
     }
 
     /// Gives a reservation back.
-    pub fn release(&mut self, id: &str, size: &Size) {
+    pub fn release(&mut self, id: &str, size: &TaskResources) {
         self.change(id, |worker| {
             if let Some(worker) = worker {
                 let used = &mut worker.used;
--- a/crates/jackdawpier_jobs/tests/support/mod.rs
+++ b/crates/jackdawpier_jobs/tests/support/mod.rs
@@ -6,10 +6,12 @@
     job::{Job, JobState},
     workers::WorkerInfo,
 };
-use jackdawpier_kernel::{ids::JobId, task::Size};
+use jackdawpier_kernel::{ids::JobId, task::TaskResources};
 
-pub const SIZE: Size = Size { cores_milli: 1_000, memory_mb: 1_000, accelerators: 0 };
-const CAPACITY: Size = Size { cores_milli: 8_000, memory_mb: 8_000, accelerators: 0 };
+pub const SIZE: TaskResources =
+    TaskResources { cores_milli: 1_000, memory_mb: 1_000, accelerators: 0 };
+const CAPACITY: TaskResources =
+    TaskResources { cores_milli: 8_000, memory_mb: 8_000, accelerators: 0 };
 
 /// A worker with room for eight jobs.
 pub fn worker(id: &str, rack: &str) -> WorkerInfo {
--- a/crates/jackdawpier_kernel/src/budget.rs
+++ b/crates/jackdawpier_kernel/src/budget.rs
@@ -6,7 +6,7 @@
 /// Share-of-traffic budget, in thousandths of a token.
 #[derive(Debug, Clone)]
 pub struct ShareBudget {
-    earned_permille: u32,
+    deposit_permille: u32,
     cap: u32,
     level: u32,
 }
@@ -19,20 +19,20 @@
     /// retried too; the whole is bounded by the share of the events and `cap`.
     pub fn new(share_permille: u32, cap: u32) -> Self {
         Self {
-            earned_permille: share_permille,
+            deposit_permille: share_permille,
             cap: cap * Self::TOKEN_PERMILLE,
             level: cap * Self::TOKEN_PERMILLE,
         }
     }
 
     /// Counts one ordinary event.
-    pub fn earn(&mut self) {
-        self.level = (self.level + self.earned_permille).min(self.cap);
+    pub fn deposit(&mut self) {
+        self.level = (self.level + self.deposit_permille).min(self.cap);
     }
 
     /// Takes one token, or returns false when the budget is spent.
     #[must_use]
-    pub fn spend(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         if self.level < Self::TOKEN_PERMILLE {
             return false;
         }
--- a/crates/jackdawpier_kernel/src/instance.rs
+++ b/crates/jackdawpier_kernel/src/instance.rs
@@ -7,7 +7,7 @@
 /// What an instance does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Role {
+pub enum InstanceRole {
     /// Answers requests over HTTP, in slots.
     Executor,
     /// Runs tasks under leases.
@@ -17,7 +17,7 @@
 /// Whether an instance takes new work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub enum InstanceState {
     /// It does.
     Live,
     /// It finishes what it has.
@@ -30,7 +30,7 @@
     /// Id, unique in the fleet.
     pub id: std::sync::Arc<str>,
     /// What it does.
-    pub role: Role,
+    pub role: InstanceRole,
     /// Service that it serves.
     pub service: ServiceName,
     /// Pool that it stands in.
@@ -42,7 +42,7 @@
     /// Rack.
     pub rack: RackName,
     /// Whether it takes new work.
-    pub state: State,
+    pub state: InstanceState,
     /// Order of the last maintenance or pool change that the platform has carried out.
     #[serde(default)]
     pub last_order: String,
@@ -99,4 +99,4 @@
 pub const ORDERS_PATH: &str = "/v1/orders";
 
 /// Path of the list at the platform.
-pub const LIST_PATH: &str = "/v1/instances";
+pub const INSTANCES_PATH: &str = "/v1/instances";
--- a/crates/jackdawpier_kernel/src/outcome.rs
+++ b/crates/jackdawpier_kernel/src/outcome.rs
@@ -52,13 +52,13 @@
     /// Content type of the body.
     pub content_type: String,
     /// The whole body; its length was checked before this value was made.
-    #[serde(with = "body_text")]
+    #[serde(with = "base64_body")]
     pub body: Vec<u8>,
 }
 
 /// Bodies in text formats (the store's records) are base64 and not lists of numbers, which take
 /// four times the room; in binary formats (between entries) they are plain bytes.
-mod body_text {
+mod base64_body {
     use base64::{Engine, engine::general_purpose::STANDARD};
     use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error};
 
--- a/crates/jackdawpier_kernel/src/plugin.rs
+++ b/crates/jackdawpier_kernel/src/plugin.rs
@@ -29,7 +29,7 @@
 
 /// A store prefix or a metric that two roles claim; the daemon refuses to start with one.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Clash {
+pub struct NameConflict {
     /// The contested prefix or metric.
     pub subject: &'static str,
     /// The two roles.
@@ -44,7 +44,7 @@
 }
 
 /// Returns every store prefix or metric that more than one of `plugins` claims.
-pub fn clashes(plugins: &[&'static Plugin]) -> Vec<Clash> {
+pub fn name_conflicts(plugins: &[&'static Plugin]) -> Vec<NameConflict> {
     let claims: Vec<(&'static str, &'static str)> = plugins
         .iter()
         .flat_map(|plugin| {
@@ -56,7 +56,7 @@
     for (index, (subject, role)) in claims.iter().enumerate() {
         for (other, other_role) in &claims[index + 1..] {
             if subject == other {
-                found.push(Clash { subject, roles: (role, other_role) });
+                found.push(NameConflict { subject, roles: (role, other_role) });
             }
         }
     }
--- a/crates/jackdawpier_kernel/src/task.rs
+++ b/crates/jackdawpier_kernel/src/task.rs
@@ -9,7 +9,7 @@
 
 /// Resources that a task declares or uses.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct Size {
+pub struct TaskResources {
     /// Processor cores, in thousandths.
     pub cores_milli: u64,
     /// Memory in megabytes.
@@ -31,7 +31,7 @@
     /// Customer of the job.
     pub customer: CustomerName,
     /// Declared size.
-    pub size: Size,
+    pub size: TaskResources,
     /// Time without renewal after which the worker stops the task by itself.
     pub lease_ms: u64,
     /// What to do.
@@ -48,7 +48,7 @@
     /// How it stands.
     pub state: TaskState,
     /// Usage as last measured, which lags.
-    pub usage: Size,
+    pub usage: TaskResources,
     /// Time that it has run, in milliseconds.
     pub ran_ms: u64,
 }
--- a/crates/jackdawpier_proofs/tests/jobs.rs
+++ b/crates/jackdawpier_proofs/tests/jobs.rs
@@ -10,7 +10,7 @@
 use jackdawpier_kernel::{
     Now,
     ids::{JobId, WorkerId},
-    task::{Size, StartTask, TaskAction, TaskReport, TaskState},
+    task::{StartTask, TaskAction, TaskReport, TaskResources, TaskState},
 };
 use jackdawpier_settings::declaration::{Class, Domain, Kind};
 use rand::{RngExt, SeedableRng};
@@ -98,7 +98,7 @@
             id: format!("worker-{index}").into(),
             zone: "riga-1".into(),
             rack: format!("rack-{index}").into(),
-            capacity: Size { cores_milli: 4_000, memory_mb: 65_536, accelerators: 0 },
+            capacity: TaskResources { cores_milli: 4_000, memory_mb: 65_536, accelerators: 0 },
             is_leaving: false,
         });
     }
@@ -206,7 +206,7 @@
             class: "nightly".into(),
             customer: format!("customer-{}", self.next_job % 3).into(),
             is_idempotent,
-            declared: Size { cores_milli: 1_000, memory_mb: 1_024, accelerators: 0 },
+            declared: TaskResources { cores_milli: 1_000, memory_mb: 1_024, accelerators: 0 },
             payload: String::new(),
             attempts: 0,
             state: JobState::Queued,
@@ -423,7 +423,7 @@
         job: job.clone(),
         attempt: task.attempt,
         state: task.state,
-        usage: Size::default(),
+        usage: TaskResources::default(),
         ran_ms: 0,
     }
 }
--- a/crates/jackdawpier_proofs/tests/world/entry.rs
+++ b/crates/jackdawpier_proofs/tests/world/entry.rs
@@ -15,8 +15,8 @@
     outcome::{Outcome, RefusalReason},
 };
 use jackdawpier_route::{
-    dedupe::{Decision, Dedupe, KeyState, Settled},
-    former::FormerKeys,
+    dedupe::{Decision, Dedupe, KeyState, Resolution},
+    lost_shard::LostShardKeys,
 };
 use jackdawpier_store::{Request, Response, StoreResult};
 
@@ -50,7 +50,7 @@
 impl Owned {
     fn write_end(&mut self, key: &RequestKey, state: &KeyState) {
         if let Some(number) = self.cell.put(Arc::clone(key), state) {
-            self.dedupe.ending(number, key);
+            self.dedupe.on_end_write_queued(number, key);
         }
     }
 }
@@ -73,7 +73,7 @@
     view: View,
     ownership: Ownership,
     owned: Option<Owned>,
-    former: FormerKeys,
+    former: LostShardKeys,
     is_view_loaded: bool,
     is_reading_view: bool,
     read_view_at: Now,
@@ -106,7 +106,7 @@
             view: View::default(),
             ownership: Ownership::new(name.clone(), incarnation),
             owned: None,
-            former: FormerKeys::new(RETENTION),
+            former: LostShardKeys::new(RETENTION),
             is_view_loaded: false,
             is_reading_view: false,
             read_view_at: Now::ZERO,
@@ -183,19 +183,19 @@
         let now = now + self.clock_ahead;
         let Some(owned) = &mut self.owned else { return };
         match owned.dedupe.begin(key, FINGERPRINT, attempt) {
-            Decision::Record { state } => {
+            Decision::WriteIntent { state } => {
                 let Some(number) = owned.cell.put(Arc::clone(key), &state) else { return };
                 owned.keys.insert(attempt, Arc::clone(key));
                 if switches.skips_intent {
                     self.sends.push((Arc::clone(key), attempt));
                 } else {
-                    owned.dedupe.recording(number, attempt, key);
+                    owned.dedupe.on_intent_write_queued(number, attempt, key);
                 }
                 let outputs = owned.cell.tick(now);
                 self.follow_cell(now, switches, outputs);
             }
-            Decision::Repeat(outcome) => self.told.push((Arc::clone(key), attempt, outcome)),
-            Decision::Ask(entry) => {
+            Decision::Replay(outcome) => self.told.push((Arc::clone(key), attempt, outcome)),
+            Decision::QueryWriter(entry) => {
                 owned.keys.insert(attempt, Arc::clone(key));
                 self.asks.push((entry, Arc::clone(key)));
             }
@@ -208,7 +208,7 @@
 
     /// What this entry remembers of a key that it owned before.
     pub(crate) fn recall(&self, switches: Switches, key: &RequestKey) -> Option<KeyState> {
-        if switches.forgets_ends { None } else { self.former.recall(key) }
+        if switches.forgets_ends { None } else { self.former.get(key) }
     }
 
     /// Takes what the entry that was asked said.
@@ -221,19 +221,19 @@
     ) {
         let now = now + self.clock_ahead;
         let Some(owned) = &mut self.owned else { return };
-        let (outcome, waiters) = match owned.dedupe.settle(key, word) {
-            Settled::Write(state) => {
+        let (outcome, waiters) = match owned.dedupe.resolve(key, word) {
+            Resolution::WriteEnd(state) => {
                 owned.write_end(key, &state);
                 if let (true, KeyState::Ended { outcome, .. }) = (switches.tells_early, &state) {
                     self.told.push((Arc::clone(key), 0, outcome.clone()));
                 }
                 (not_run(), Vec::new())
             }
-            Settled::Release(waiters) => {
+            Resolution::Release(waiters) => {
                 owned.write_end(key, &KeyState::Released);
                 (not_run(), waiters)
             }
-            Settled::Unknown(waiters) => (Outcome::Unknown { detail: String::new() }, waiters),
+            Resolution::Unknown(waiters) => (Outcome::Unknown { detail: String::new() }, waiters),
         };
         for waiter in waiters {
             self.told.push((Arc::clone(key), waiter, outcome.clone()));
@@ -315,7 +315,7 @@
 
     fn drop_owned(&mut self, now: Now) {
         let Some(owned) = self.owned.take() else { return };
-        for attempt in owned.dedupe.retire(now, &mut self.former) {
+        for attempt in owned.dedupe.release_ownership(now, &mut self.former) {
             if let Some(key) = owned.keys.get(&attempt) {
                 self.told.push((Arc::clone(key), attempt, not_run()));
             }
@@ -339,8 +339,8 @@
                     }
                 }
                 CellOutput::Committed { up_to } => {
-                    let committed = owned.dedupe.committed(up_to);
-                    for (outcome, waiters) in committed.learned {
+                    let committed = owned.dedupe.on_committed(up_to);
+                    for (outcome, waiters) in committed.resolved {
                         for waiter in waiters {
                             let key = Arc::clone(&owned.keys[&waiter]);
                             self.told.push((key, waiter, outcome.clone()));
@@ -362,7 +362,10 @@
             std::mem::take(&mut self.ends).into_iter().partition(|(at, ..)| *at <= step);
         self.ends = rest;
         for (_, key, attempt, outcome) in due {
-            let ended = self.owned.as_mut().and_then(|owned| owned.dedupe.end(now, &key, &outcome));
+            let ended = self
+                .owned
+                .as_mut()
+                .and_then(|owned| owned.dedupe.record_outcome(now, &key, &outcome));
             if let (Some(owned), Some((state, waiters))) = (&mut self.owned, ended) {
                 owned.write_end(&key, &state);
                 for waiter in waiters {
@@ -373,7 +376,7 @@
                 let outputs = owned.cell.tick(now);
                 self.follow_cell(now, switches, outputs);
             } else {
-                self.former.end(now, &key, &outcome);
+                self.former.record_outcome(now, &key, &outcome);
             }
             self.told.push((key, attempt, outcome));
         }
--- a/crates/jackdawpier_proofs/tests/world/recalls.rs
+++ b/crates/jackdawpier_proofs/tests/world/recalls.rs
@@ -85,8 +85,8 @@
         for key in keys {
             let entry = self.entries[owner].as_mut().expect("it was found above");
             let is_answered = match entry.repeat(&key) {
-                Some(Decision::Repeat(outcome)) => matches!(outcome, Outcome::Answered(_)),
-                Some(Decision::Ask(asked)) => self.would_recall(&asked, &key),
+                Some(Decision::Replay(outcome)) => matches!(outcome, Outcome::Answered(_)),
+                Some(Decision::QueryWriter(asked)) => self.would_recall(&asked, &key),
                 _ => false,
             };
             if !is_answered {
--- a/crates/jackdawpier_route/src/dedupe.rs
+++ b/crates/jackdawpier_route/src/dedupe.rs
@@ -18,10 +18,10 @@
 };
 use serde::{Deserialize, Serialize};
 
-use crate::former::FormerKeys;
+use crate::lost_shard::LostShardKeys;
 
 /// Largest answer body that is kept for a repeat, in bytes.
-pub const MAX_KEPT_BODY_BYTES: usize = 16 * 1024;
+pub const MAX_RETAINED_BODY_BYTES: usize = 16 * 1024;
 
 /// Hash of a request's method, path and body: a key must not be used for two requests.
 pub type Fingerprint = u64;
@@ -51,28 +51,28 @@
 /// What to do with a keyed request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// Write the intent, and run the request once [`Dedupe::committed`] returns its ticket.
-    Record {
+    /// Write the intent, and run the request once [`Dedupe::on_committed`] returns its ticket.
+    WriteIntent {
         /// The state to make durable.
         state: KeyState,
     },
     /// The same request is under way: its outcome will be returned for this ticket too.
     Wait,
     /// An earlier owner may have sent it: ask this entry, and give its word to
-    /// [`Dedupe::settle`], which returns this ticket.
-    Ask(EntryId),
+    /// [`Dedupe::resolve`], which returns this ticket.
+    QueryWriter(EntryId),
     /// The request has ended before: this is its outcome.
-    Repeat(Outcome),
+    Replay(Outcome),
     /// The key was used for another request.
     KeyReused,
 }
 
 /// What to do once the entry that wrote an intent was asked.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Settled {
-    /// Make the end durable; [`Committed::learned`] then returns those that wait. Told earlier, an
+pub enum Resolution {
+    /// Make the end durable; [`CommitResult::resolved`] then returns those that wait. Told earlier, an
     /// answer could be lost with the one process that can tell it again.
-    Write(KeyState),
+    WriteEnd(KeyState),
     /// It never ran: make the release durable, and let those that wait ask again.
     Release(Vec<Ticket>),
     /// Nothing was learned: tell those that wait that the outcome is unknown.
@@ -81,11 +81,11 @@
 
 /// What became durable.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub struct Committed {
+pub struct CommitResult {
     /// Tickets whose intents are durable, so that they may be sent.
     pub sendable: Vec<Ticket>,
     /// Ends learned from an earlier owner, each with the tickets that wait for it.
-    pub learned: Vec<(Outcome, Vec<Ticket>)>,
+    pub resolved: Vec<(Outcome, Vec<Ticket>)>,
 }
 
 #[derive(Debug)]
@@ -161,12 +161,12 @@
         &mut self,
         now: Now,
         states: impl IntoIterator<Item = (RequestKey, KeyState)>,
-        former: &mut FormerKeys,
+        former: &mut LostShardKeys,
     ) -> Vec<(RequestKey, KeyState)> {
         let mut news = Vec::new();
         for (key, state) in states {
             let remembered = match &state {
-                KeyState::Intent { entry, .. } if *entry == self.entry => former.recall(&key),
+                KeyState::Intent { entry, .. } if *entry == self.entry => former.get(&key),
                 _ => None,
             };
             match remembered {
@@ -197,8 +197,8 @@
         self.keys.insert(key, live);
     }
 
-    /// Decides on a request. After [`Decision::Record`] the caller says by
-    /// [`Dedupe::recording`] which durable write carries the intent.
+    /// Decides on a request. After [`Decision::WriteIntent`] the caller says by
+    /// [`Dedupe::on_intent_write_queued`] which durable write carries the intent.
     pub fn begin(
         &mut self,
         key: &RequestKey,
@@ -210,19 +210,19 @@
                 let live = Live::Running { fingerprint, waiters: Vec::new() };
                 self.keys.insert(Arc::clone(key), live);
                 let entry = self.entry.clone();
-                Decision::Record { state: KeyState::Intent { fingerprint, entry } }
+                Decision::WriteIntent { state: KeyState::Intent { fingerprint, entry } }
             }
             Some(Live::Running { fingerprint: known, waiters }) if *known == fingerprint => {
                 waiters.push(ticket);
                 Decision::Wait
             }
             Some(Live::Ended { fingerprint: known, outcome }) if *known == fingerprint => {
-                Decision::Repeat(outcome.clone())
+                Decision::Replay(outcome.clone())
             }
             Some(Live::Doubtful { fingerprint: known, doubt }) if *known == fingerprint => {
                 doubt.waiters.push(ticket);
                 let is_first = doubt.waiters.len() == 1 && doubt.learned.is_none();
-                if is_first { Decision::Ask(doubt.entry.clone()) } else { Decision::Wait }
+                if is_first { Decision::QueryWriter(doubt.entry.clone()) } else { Decision::Wait }
             }
             Some(_) => Decision::KeyReused,
         }
@@ -230,45 +230,45 @@
 
     /// Takes the word of the entry that was asked: what it remembers of the key, if anything.
     /// Without an end the key stays in doubt, and the next repeat asks again.
-    pub fn settle(&mut self, key: &RequestKey, word: Option<KeyState>) -> Settled {
+    pub fn resolve(&mut self, key: &RequestKey, word: Option<KeyState>) -> Resolution {
         let Some(Live::Doubtful { doubt, .. }) = self.keys.get_mut(key) else {
-            return Settled::Unknown(Vec::new());
+            return Resolution::Unknown(Vec::new());
         };
         let Doubt { waiters, learned, .. } = &mut **doubt;
         match word {
             Some(KeyState::Ended { fingerprint, outcome }) => {
                 *learned = Some(outcome.clone());
-                Settled::Write(KeyState::Ended { fingerprint, outcome })
+                Resolution::WriteEnd(KeyState::Ended { fingerprint, outcome })
             }
             Some(KeyState::Released) if learned.is_none() => {
                 let waiters = std::mem::take(waiters);
                 self.keys.remove(key);
-                Settled::Release(waiters)
+                Resolution::Release(waiters)
             }
-            _ if learned.is_some() => Settled::Unknown(Vec::new()),
-            _ => Settled::Unknown(std::mem::take(waiters)),
+            _ if learned.is_some() => Resolution::Unknown(Vec::new()),
+            _ => Resolution::Unknown(std::mem::take(waiters)),
         }
     }
 
     /// Says that durable write `number` carries the intent of `ticket`.
-    pub fn recording(&mut self, number: u64, ticket: Ticket, key: &RequestKey) {
+    pub fn on_intent_write_queued(&mut self, number: u64, ticket: Ticket, key: &RequestKey) {
         self.uncommitted.push_back((number, ticket, Arc::clone(key)));
     }
 
     /// Says that durable write `number` carries the end of `key`.
-    pub fn ending(&mut self, number: u64, key: &RequestKey) {
+    pub fn on_end_write_queued(&mut self, number: u64, key: &RequestKey) {
         self.unwritten.push_back((number, Arc::clone(key)));
     }
 
     /// Returns what is durable now.
-    pub fn committed(&mut self, up_to: u64) -> Committed {
+    pub fn on_committed(&mut self, up_to: u64) -> CommitResult {
         let written = self.unwritten.iter().take_while(|(number, _)| *number <= up_to).count();
         let written: Vec<RequestKey> =
             self.unwritten.drain(..written).map(|(_, key)| key).collect();
         let learned = written.iter().filter_map(|key| self.confirm(key)).collect();
         let count = self.uncommitted.iter().take_while(|(number, ..)| *number <= up_to).count();
         let sendable = self.uncommitted.drain(..count).map(|(_, ticket, _)| ticket).collect();
-        Committed { sendable, learned }
+        CommitResult { sendable, resolved: learned }
     }
 
     /// Turns a learned end that is durable into an end like any other.
@@ -283,26 +283,26 @@
 
     /// Ends this ownership: `former` remembers what the next owner can't read in the log. Returns
     /// the tickets whose intents are not known to be durable; they are never sent.
-    pub fn retire(mut self, now: Now, former: &mut FormerKeys) -> Vec<Ticket> {
+    pub fn release_ownership(mut self, now: Now, former: &mut LostShardKeys) -> Vec<Ticket> {
         let mut unsent = Vec::new();
         for (_, ticket, key) in std::mem::take(&mut self.uncommitted) {
             self.keys.remove(&key);
-            former.remember(now, key, KeyState::Released);
+            former.insert(now, key, KeyState::Released);
             unsent.push(ticket);
         }
         for (_, key) in std::mem::take(&mut self.unwritten) {
             match self.keys.remove(&key) {
                 Some(Live::Ended { fingerprint, outcome }) => {
-                    former.remember(now, key, KeyState::Ended { fingerprint, outcome });
+                    former.insert(now, key, KeyState::Ended { fingerprint, outcome });
                 }
                 Some(live) => drop(self.keys.insert(key, live)),
-                None => former.remember(now, key, KeyState::Released),
+                None => former.insert(now, key, KeyState::Released),
             }
         }
         for (key, live) in self.keys {
             if let Live::Running { fingerprint, .. } = live {
                 let entry = self.entry.clone();
-                former.remember(now, key, KeyState::Intent { fingerprint, entry });
+                former.insert(now, key, KeyState::Intent { fingerprint, entry });
             }
         }
         unsent
@@ -310,7 +310,7 @@
 
     /// Notes the outcome of a request that was recorded. Returns the state to make durable and
     /// the tickets that wait for the same outcome.
-    pub fn end(
+    pub fn record_outcome(
         &mut self,
         now: Now,
         key: &RequestKey,
@@ -324,7 +324,7 @@
             self.keys.remove(key);
             return Some((KeyState::Released, waiters));
         }
-        let kept = kept_outcome(outcome);
+        let kept = retained_outcome(outcome);
         let live = Live::Ended { fingerprint, outcome: kept.clone() };
         self.keys.insert(Arc::clone(key), live);
         self.expiring.insert((now + self.retention, Arc::clone(key)));
@@ -343,9 +343,9 @@
     }
 }
 
-pub(crate) fn kept_outcome(outcome: &Outcome) -> Outcome {
+pub(crate) fn retained_outcome(outcome: &Outcome) -> Outcome {
     match outcome {
-        Outcome::Answered(answer) if answer.body.len() > MAX_KEPT_BODY_BYTES => {
+        Outcome::Answered(answer) if answer.body.len() > MAX_RETAINED_BODY_BYTES => {
             Outcome::Answered(Answer {
                 status: answer.status,
                 content_type: "text/plain".to_owned(),
--- a/crates/jackdawpier_route/src/dispatcher.rs
+++ b/crates/jackdawpier_route/src/dispatcher.rs
@@ -53,7 +53,7 @@
 
 /// How one attempt at an executor ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum AttemptEnd {
+pub enum AttemptOutcome {
     /// A whole answer came.
     Answered,
     /// No byte of the request was sent.
@@ -196,7 +196,7 @@
 
     /// Executors that the requests running and waiting now would fill, in thousandths.
     pub fn demand_milli(&self) -> u32 {
-        let executors = self.executors.taking() as u32;
+        let executors = self.executors.accepting_count() as u32;
         if executors == 0 {
             return 0;
         }
@@ -210,7 +210,7 @@
     }
 
     /// Says whether a request of `class` could be admitted, without changing anything.
-    pub fn admits(
+    pub fn check_admission(
         &self,
         now: Now,
         class: &str,
@@ -230,7 +230,7 @@
             let retry_after = wait.max(MIN_RETRY_AFTER);
             return Err(Refusal { reason: RefusalReason::QueueFull, retry_after });
         }
-        let ready_at = now + wait + state.service_time.cautious();
+        let ready_at = now + wait + state.service_time.upper_estimate();
         if ready_at > deadline {
             let retry_after = ready_at.checked_sub(deadline).unwrap().max(MIN_RETRY_AFTER);
             return Err(Refusal { reason: RefusalReason::DeadlineUnreachable, retry_after });
@@ -241,7 +241,7 @@
     /// Time until a new request of `customer` would start. Customers take turns, so a customer's
     /// own backlog and the number of active customers count, not the longest queue.
     fn expected_wait(&self, state: &ClassState, customer: &str) -> Duration {
-        if state.queue.is_empty() && self.executors.has_room() {
+        if state.queue.is_empty() && self.executors.has_free_slot() {
             return Duration::ZERO;
         }
         let turns = state.queue.backlog(customer) + 1;
@@ -251,15 +251,16 @@
     }
 
     /// Takes a request in, or refuses it at once.
-    pub fn arrive(&mut self, now: Now, info: RequestInfo) -> Vec<Command> {
-        if let Err(refusal) = self.admits(now, &info.class, &info.customer, info.deadline) {
+    pub fn submit(&mut self, now: Now, info: RequestInfo) -> Vec<Command> {
+        if let Err(refusal) = self.check_admission(now, &info.class, &info.customer, info.deadline)
+        {
             let Refusal { reason, retry_after } = refusal;
             return vec![Command::Refuse { ticket: info.ticket, reason, retry_after }];
         }
         let state = self.classes.get_mut(&info.class).expect("admitted requests have a class");
-        state.retry_budget.earn();
+        state.retry_budget.deposit();
         state.queue.push(&info.customer, info.ticket);
-        let latest_start = info.deadline.saturating_sub(state.service_time.cautious());
+        let latest_start = info.deadline.saturating_sub(state.service_time.upper_estimate());
         self.by_latest_start.insert((latest_start, info.ticket));
         let pending = Pending {
             latest_start,
@@ -282,7 +283,12 @@
     }
 
     /// Learns that an attempt ended, and decides what follows.
-    pub fn attempt_ended(&mut self, now: Now, ticket: Ticket, end: AttemptEnd) -> Vec<Command> {
+    pub fn finish_attempt(
+        &mut self,
+        now: Now,
+        ticket: Ticket,
+        end: AttemptOutcome,
+    ) -> Vec<Command> {
         let Some((executor, started_at)) =
             self.pending.get_mut(&ticket).and_then(|pending| pending.running_on.take())
         else {
@@ -290,10 +296,10 @@
         };
         self.settle_executor(now, ticket, &executor, end);
         let pending = self.pending.get_mut(&ticket).expect("the attempt belongs to a request");
-        pending.may_have_run |= matches!(end, AttemptEnd::Failed | AttemptEnd::Lost);
+        pending.may_have_run |= matches!(end, AttemptOutcome::Failed | AttemptOutcome::Lost);
         let class = self.classes.get_mut(&pending.info.class).expect("classes are never dropped");
         class.running -= 1;
-        if end == AttemptEnd::Answered {
+        if end == AttemptOutcome::Answered {
             class.service_time.observe(now.saturating_sub(started_at));
             self.pending.remove(&ticket);
             return self.dispatch(now);
@@ -301,7 +307,7 @@
         let may_repeat = pending.info.is_idempotent || !pending.may_have_run;
         let has_time = now <= pending.latest_start && pending.attempts < MAX_ATTEMPTS;
         let mut commands = Vec::new();
-        if may_repeat && has_time && class.retry_budget.spend() {
+        if may_repeat && has_time && class.retry_budget.try_withdraw() {
             pending.avoid = Some(executor);
             class.queue.push_front(&pending.info.customer, ticket);
             self.by_latest_start.insert((pending.latest_start, ticket));
@@ -318,23 +324,23 @@
         now: Now,
         ticket: Ticket,
         executor: &ExecutorId,
-        end: AttemptEnd,
+        end: AttemptOutcome,
     ) {
         let health = match end {
-            AttemptEnd::Answered | AttemptEnd::Declined { .. } => Health::Good,
-            AttemptEnd::NotConnected => Health::Unreachable,
-            AttemptEnd::Failed | AttemptEnd::Lost => Health::Bad,
+            AttemptOutcome::Answered | AttemptOutcome::Declined { .. } => Health::Good,
+            AttemptOutcome::NotConnected => Health::Unreachable,
+            AttemptOutcome::Failed | AttemptOutcome::Lost => Health::Bad,
         };
         self.executors.observe(now, executor, health);
-        if end == (AttemptEnd::Declined { is_leaving: true }) {
+        if end == (AttemptOutcome::Declined { is_leaving: true }) {
             self.executors.mark_leaving(executor);
         }
-        if end == AttemptEnd::Lost {
+        if end == AttemptOutcome::Lost {
             // The executor may still be working on it, so its slot isn't free yet.
             let hold = self.orphan_hold(ticket);
             self.orphans.insert((now + hold, ticket, executor.clone()));
         } else {
-            self.executors.release(executor);
+            self.executors.release_slot(executor);
         }
     }
 
@@ -342,12 +348,12 @@
         self.pending
             .get(&ticket)
             .and_then(|pending| self.classes.get(&pending.info.class))
-            .map_or(NO_EXECUTOR_RETRY_AFTER, |class| class.service_time.cautious())
+            .map_or(NO_EXECUTOR_RETRY_AFTER, |class| class.service_time.upper_estimate())
     }
 
     /// The final answer to a request that gets no further attempt: "not run" only if that is
     /// certain for all of its attempts.
-    fn give_up(&self, pending: &Pending, end: AttemptEnd) -> Command {
+    fn give_up(&self, pending: &Pending, end: AttemptOutcome) -> Command {
         let ticket = pending.info.ticket;
         if !pending.may_have_run {
             let class = &self.classes[&pending.info.class];
@@ -356,7 +362,7 @@
             return Command::Refuse { ticket, reason: RefusalReason::NotConnected, retry_after };
         }
         match end {
-            AttemptEnd::Failed => Command::Fail { ticket },
+            AttemptOutcome::Failed => Command::Fail { ticket },
             _ => Command::Unknown { ticket },
         }
     }
@@ -366,7 +372,7 @@
         self.executors.tick(now);
         while self.orphans.first().is_some_and(|(until, ..)| *until <= now) {
             let (_, _, executor) = self.orphans.pop_first().expect("it was there above");
-            self.executors.release(&executor);
+            self.executors.release_slot(&executor);
         }
         let mut commands = self.expire(now);
         commands.extend(self.dispatch(now));
@@ -407,13 +413,16 @@
 
     fn dispatch(&mut self, now: Now) -> Vec<Command> {
         let mut commands = self.expire(now);
-        while self.executors.has_room() {
+        while self.executors.has_free_slot() {
             let Some(name) = self.next_class() else { break };
             let class = self.classes.get_mut(&name).expect("the class was just chosen");
             let cost = class.service_time.mean().as_micros() as u64;
             let Some(ticket) = class.queue.pop(cost) else { break };
             let pending = self.pending.get_mut(&ticket).expect("queued requests are pending");
-            let Some(executor) = self.executors.take_except(pending.avoid.as_ref()) else { break };
+            let Some(executor) = self.executors.acquire_slot_avoiding(pending.avoid.as_ref())
+            else {
+                break;
+            };
             class.running += 1;
             pending.attempts += 1;
             pending.running_on = Some((executor.clone(), now));
--- a/crates/jackdawpier_route/src/executors.rs
+++ b/crates/jackdawpier_route/src/executors.rs
@@ -60,7 +60,7 @@
 }
 
 impl Executor {
-    fn has_room(&self) -> bool {
+    fn has_free_slot(&self) -> bool {
         let limit = self.info.slots.min(self.info.connections);
         let limit = if self.failures >= EJECT_AFTER { limit.min(1) } else { limit };
         !self.info.is_leaving && self.left_out_until.is_none() && self.in_flight < limit
@@ -98,7 +98,7 @@
     }
 
     /// Executors that take new work.
-    pub fn taking(&self) -> usize {
+    pub fn accepting_count(&self) -> usize {
         self.all.values().filter(|executor| !executor.info.is_leaving).count()
     }
 
@@ -113,7 +113,7 @@
     }
 
     /// Whether any executor has a free slot.
-    pub fn has_room(&self) -> bool {
+    pub fn has_free_slot(&self) -> bool {
         !self.usable.is_empty()
     }
 
@@ -155,12 +155,12 @@
     }
 
     /// Takes a slot of the best usable executor.
-    pub fn take(&mut self) -> Option<ExecutorId> {
-        self.take_except(None)
+    pub fn acquire_slot(&mut self) -> Option<ExecutorId> {
+        self.acquire_slot_avoiding(None)
     }
 
     /// Takes a slot of the best usable executor other than `avoid`, if another has room.
-    pub fn take_except(&mut self, avoid: Option<&ExecutorId>) -> Option<ExecutorId> {
+    pub fn acquire_slot_avoiding(&mut self, avoid: Option<&ExecutorId>) -> Option<ExecutorId> {
         let other = self.usable.iter().map(|(_, id)| id).find(|id| Some(*id) != avoid);
         let id = other.or_else(|| self.usable.first().map(|(_, id)| id))?.clone();
         self.uses += 1;
@@ -175,7 +175,7 @@
     }
 
     /// Gives a slot back.
-    pub fn release(&mut self, id: &str) {
+    pub fn release_slot(&mut self, id: &str) {
         self.change(id, |executor| {
             if let Some(executor) = executor {
                 executor.in_flight = executor.in_flight.saturating_sub(1);
@@ -257,7 +257,7 @@
     fn list(&mut self, id: &str) {
         let Some(executor) = self.all.get(id) else { return };
         self.slots += if executor.info.is_leaving { 0 } else { executor.info.slots };
-        if executor.has_room() {
+        if executor.has_free_slot() {
             self.usable.insert((executor.rank(), executor.info.id.clone()));
         }
         let zone = self.zones.entry(executor.info.zone.clone()).or_default();
--- a/crates/jackdawpier_route/src/lib.rs
+++ b/crates/jackdawpier_route/src/lib.rs
@@ -4,8 +4,8 @@
 //! steady view of members; `docs/design/routing.md` weighs this against independent choice.
 
 pub mod dedupe;
-pub mod directory;
 pub mod dispatcher;
 pub mod executors;
-pub mod former;
+pub mod lost_shard;
+pub mod routing;
 pub mod service_time;
--- a/crates/jackdawpier_route/src/former.rs
+++ b/crates/jackdawpier_route/src/lost_shard.rs
@@ -12,17 +12,17 @@
 
 use jackdawpier_kernel::{Now, ids::RequestKey, outcome::Outcome};
 
-use crate::dedupe::{KeyState, kept_outcome};
+use crate::dedupe::{KeyState, retained_outcome};
 
 /// Keys of a lost shard whose last state may not be in the log.
 #[derive(Debug)]
-pub struct FormerKeys {
+pub struct LostShardKeys {
     retention: Duration,
     keys: HashMap<RequestKey, (Now, KeyState)>,
     expiring: BTreeSet<(Now, RequestKey)>,
 }
 
-impl FormerKeys {
+impl LostShardKeys {
     /// Returns an empty memory that keeps a state for `retention`.
     pub fn new(retention: Duration) -> Self {
         Self { retention, keys: HashMap::new(), expiring: BTreeSet::new() }
@@ -39,24 +39,24 @@
     }
 
     /// Remembers a state. [`KeyState::Intent`] says that the request still runs here.
-    pub(crate) fn remember(&mut self, now: Now, key: RequestKey, state: KeyState) {
+    pub(crate) fn insert(&mut self, now: Now, key: RequestKey, state: KeyState) {
         let expires_at = now + self.retention;
         self.expiring.insert((expires_at, Arc::clone(&key)));
         self.keys.insert(key, (expires_at, state));
     }
 
     /// Notes the outcome of a request that still ran when the shard was lost.
-    pub fn end(&mut self, now: Now, key: &RequestKey, outcome: &Outcome) {
+    pub fn record_outcome(&mut self, now: Now, key: &RequestKey, outcome: &Outcome) {
         let Some((_, KeyState::Intent { fingerprint, .. })) = self.keys.get(key) else { return };
         let state = match outcome {
             Outcome::NotRun { .. } => KeyState::Released,
-            _ => KeyState::Ended { fingerprint: *fingerprint, outcome: kept_outcome(outcome) },
+            _ => KeyState::Ended { fingerprint: *fingerprint, outcome: retained_outcome(outcome) },
         };
-        self.remember(now, Arc::clone(key), state);
+        self.insert(now, Arc::clone(key), state);
     }
 
     /// What is remembered of a key.
-    pub fn recall(&self, key: &str) -> Option<KeyState> {
+    pub fn get(&self, key: &str) -> Option<KeyState> {
         self.keys.get(key).map(|(_, state)| state.clone())
     }
 
--- a/crates/jackdawpier_route/src/directory.rs
+++ b/crates/jackdawpier_route/src/routing.rs
@@ -8,35 +8,39 @@
 
 /// Where a request is decided.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Place {
+pub enum RouteTarget {
     /// At this entry.
-    Here,
+    Local,
     /// At another entry.
     Peer(EntryId),
     /// Nowhere at the moment.
-    Nowhere,
+    Unavailable,
 }
 
 /// Chooses the place for a request without a key, from the ranking of the service's candidates.
 /// An entry that is stopping decides only where nobody else can, as the others leave it out too.
-pub fn place_unkeyed(
+pub fn route_unkeyed(
     ranking: &[EntryId],
     own: &str,
     is_stopping: bool,
     is_reachable: impl Fn(&str) -> bool,
-) -> Place {
+) -> RouteTarget {
     let is_usable = |name: &str| if name == own { !is_stopping } else { is_reachable(name) };
     match ranking.iter().find(|name| is_usable(name)) {
-        Some(name) if **name != *own => Place::Peer(name.clone()),
-        _ => Place::Here,
+        Some(name) if **name != *own => RouteTarget::Peer(name.clone()),
+        _ => RouteTarget::Local,
     }
 }
 
 /// Chooses the place for a keyed request, given the recorded owner.
-pub fn place_keyed(own: &str, owner: Option<&str>, is_reachable: impl Fn(&str) -> bool) -> Place {
+pub fn route_keyed(
+    own: &str,
+    owner: Option<&str>,
+    is_reachable: impl Fn(&str) -> bool,
+) -> RouteTarget {
     match owner {
-        Some(name) if name == own => Place::Here,
-        Some(name) if is_reachable(name) => Place::Peer(name.into()),
-        _ => Place::Nowhere,
+        Some(name) if name == own => RouteTarget::Local,
+        Some(name) if is_reachable(name) => RouteTarget::Peer(name.into()),
+        _ => RouteTarget::Unavailable,
     }
 }
--- a/crates/jackdawpier_route/src/service_time.rs
+++ b/crates/jackdawpier_route/src/service_time.rs
@@ -40,7 +40,7 @@
     }
 
     /// A time that most attempts stay below.
-    pub fn cautious(&self) -> Duration {
+    pub fn upper_estimate(&self) -> Duration {
         Duration::from_secs_f64(self.mean_s + 2.0 * self.deviation_s)
     }
 }
--- a/crates/jackdawpier_route/tests/ejection.rs
+++ b/crates/jackdawpier_route/tests/ejection.rs
@@ -21,13 +21,13 @@
 
 fn usable(executors: &mut Executors) -> usize {
     let mut taken = Vec::new();
-    while let Some(id) = executors.take() {
+    while let Some(id) = executors.acquire_slot() {
         taken.push(id);
     }
     let mut distinct = taken.clone();
     distinct.sort();
     distinct.dedup();
-    taken.iter().for_each(|id| executors.release(id));
+    taken.iter().for_each(|id| executors.release_slot(id));
     distinct.len()
 }
 
@@ -57,11 +57,11 @@
     let mut executors = zone_of(1);
     executors.observe(Now::ZERO, "executor-0", Health::Unreachable);
     executors.tick(Duration::from_secs(1));
-    assert!(executors.take().is_some());
-    assert!(executors.take().is_none(), "one probe at a time");
-    executors.release("executor-0");
+    assert!(executors.acquire_slot().is_some());
+    assert!(executors.acquire_slot().is_none(), "one probe at a time");
+    executors.release_slot("executor-0");
     executors.observe(Duration::from_secs(1), "executor-0", Health::Good);
-    assert!(executors.take().is_some() && executors.take().is_some());
+    assert!(executors.acquire_slot().is_some() && executors.acquire_slot().is_some());
 }
 
 #[test]
@@ -76,5 +76,5 @@
         is_leaving: false,
     };
     executors.upsert(listed);
-    assert!(executors.take().is_none(), "a lagging list doesn't bring it back");
+    assert!(executors.acquire_slot().is_none(), "a lagging list doesn't bring it back");
 }
--- a/crates/jackdawpier_route/tests/limits.rs
+++ b/crates/jackdawpier_route/tests/limits.rs
@@ -7,7 +7,7 @@
 
 use jackdawpier_kernel::Now;
 use jackdawpier_route::{
-    dispatcher::{AttemptEnd, Command, Dispatcher, RequestInfo},
+    dispatcher::{AttemptOutcome, Command, Dispatcher, RequestInfo},
     executors::ExecutorInfo,
 };
 use jackdawpier_settings::declaration::{Class, Domain, Kind};
@@ -135,10 +135,10 @@
                     deadline: self.now + Duration::from_millis(u64::from(time_ms)),
                     is_idempotent: is_idempotent || self.switches.hides_idempotence,
                 };
-                let commands = self.dispatcher.arrive(self.now, info);
+                let commands = self.dispatcher.submit(self.now, info);
                 self.follow(commands)
             }
-            Step::End { which, how } => self.end(which, how),
+            Step::End { which, how } => self.end_attempt(which, how),
             Step::Pass { ms } => {
                 self.now += Duration::from_millis(u64::from(ms));
                 let commands = self.dispatcher.tick(self.now);
@@ -171,7 +171,7 @@
         }
     }
 
-    fn end(&mut self, which: u8, how: u8) -> Result<(), String> {
+    fn end_attempt(&mut self, which: u8, how: u8) -> Result<(), String> {
         let running: Vec<u64> = self
             .requests
             .iter()
@@ -185,20 +185,20 @@
         let request = self.requests.get_mut(&ticket).expect("it was listed");
         let executor = request.running_on.take().expect("it runs");
         let end = match how % 8 {
-            0 => AttemptEnd::NotConnected,
-            1 => AttemptEnd::Declined { is_leaving: false },
-            2 => AttemptEnd::Failed,
-            3 => AttemptEnd::Lost,
-            _ => AttemptEnd::Answered,
+            0 => AttemptOutcome::NotConnected,
+            1 => AttemptOutcome::Declined { is_leaving: false },
+            2 => AttemptOutcome::Failed,
+            3 => AttemptOutcome::Lost,
+            _ => AttemptOutcome::Answered,
         };
-        request.may_have_run |= matches!(end, AttemptEnd::Failed | AttemptEnd::Lost);
-        request.is_final = end == AttemptEnd::Answered;
+        request.may_have_run |= matches!(end, AttemptOutcome::Failed | AttemptOutcome::Lost);
+        request.is_final = end == AttemptOutcome::Answered;
         *self.in_flight.get_mut(&executor).expect("it was sent there") -= 1;
         let told = match end {
-            AttemptEnd::Lost if self.switches.hides_loss => AttemptEnd::NotConnected,
+            AttemptOutcome::Lost if self.switches.hides_loss => AttemptOutcome::NotConnected,
             end => end,
         };
-        let commands = self.dispatcher.attempt_ended(self.now, ticket, told);
+        let commands = self.dispatcher.finish_attempt(self.now, ticket, told);
         self.follow(commands)
     }
 
@@ -256,7 +256,7 @@
         for _ in 0..10_000 {
             let has_running = self.requests.values().any(|request| request.running_on.is_some());
             if has_running {
-                self.end(0, 7)?;
+                self.end_attempt(0, 7)?;
             } else {
                 self.step(Step::Pass { ms: 400 })?;
             }
--- a/crates/jackdawpier_standin/src/instance_list.rs
+++ b/crates/jackdawpier_standin/src/instance_list.rs
@@ -9,7 +9,7 @@
 
 use jackdawpier_http::{Handler, IncomingRequest, Reply};
 use jackdawpier_kernel::instance::{
-    Instance, InstanceList, LIST_PATH, ORDERS_PATH, Order, OrderAction, State,
+    INSTANCES_PATH, Instance, InstanceList, InstanceState, ORDERS_PATH, Order, OrderAction,
 };
 
 use crate::process::{bind, default_limits, json, not_found, parse, serve_forever};
@@ -64,7 +64,7 @@
             return;
         }
         instance.last_order.clone_from(&order.id);
-        instance.state = State::Leaving;
+        instance.state = InstanceState::Leaving;
         *fleet.orders.entry(order.instance.to_string()).or_default() += 1;
         fleet.changed();
         drop(fleet);
@@ -73,7 +73,7 @@
             tokio::time::sleep(time).await;
             let mut fleet = server.lock();
             if let Some(instance) = fleet.instances.get_mut(&*order.instance) {
-                instance.state = State::Live;
+                instance.state = InstanceState::Live;
                 if let OrderAction::MoveTo(pool) = &order.action {
                     instance.pool = pool.clone();
                     instance.service = pool.clone();
@@ -96,7 +96,7 @@
             );
         }
         let mut fleet = self.lock();
-        if request.path == LIST_PATH {
+        if request.path == INSTANCES_PATH {
             return json(&fleet.lagging());
         }
         let mut parts = request.path.trim_start_matches("/admin/").splitn(2, '/');
@@ -110,7 +110,7 @@
             },
             "leave" => {
                 if let Some(instance) = fleet.instances.get_mut(argument) {
-                    instance.state = State::Leaving;
+                    instance.state = InstanceState::Leaving;
                 }
             }
             "remove" => {
--- a/crates/jackdawpier_standin/src/main.rs
+++ b/crates/jackdawpier_standin/src/main.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode, time::Duration};
 
 use bpaf::Bpaf;
-use jackdawpier_kernel::instance::{Instance, Role, State};
+use jackdawpier_kernel::instance::{Instance, InstanceRole, InstanceState};
 use jackdawpier_standin::{
     executor, instance_list, keys,
     load::{self, LoadPlan, MixPart},
@@ -90,7 +90,7 @@
 }
 
 impl Backend {
-    fn register(&self, role: Role, address: SocketAddr) {
+    fn register(&self, role: InstanceRole, address: SocketAddr) {
         let instance = Instance {
             id: self.id.as_str().into(),
             role,
@@ -99,7 +99,7 @@
             address: address.to_string(),
             zone: self.zone.as_str().into(),
             rack: self.rack.as_str().into(),
-            state: State::Live,
+            state: InstanceState::Live,
             last_order: String::new(),
             slots: self.slots,
             connections: self.connections,
@@ -214,14 +214,14 @@
         }
         Command::Executor(backend) => {
             block_on(executor::run(backend.listen, backend.slots, backend.connections, |address| {
-                backend.register(Role::Executor, address);
+                backend.register(InstanceRole::Executor, address);
             }))
             .map(|()| ExitCode::SUCCESS)
         }
-        Command::Worker(backend) => {
-            block_on(worker::run(backend.listen, |address| backend.register(Role::Worker, address)))
-                .map(|()| ExitCode::SUCCESS)
-        }
+        Command::Worker(backend) => block_on(worker::run(backend.listen, |address| {
+            backend.register(InstanceRole::Worker, address)
+        }))
+        .map(|()| ExitCode::SUCCESS),
         Command::Load(args) => Ok(run_load(&args)),
         Command::Keys { folder, names } => {
             keys::write_keys(&folder, &names).map(|()| ExitCode::SUCCESS)
--- a/crates/jackdawpier_standin/src/worker.rs
+++ b/crates/jackdawpier_standin/src/worker.rs
@@ -10,7 +10,7 @@
 use jackdawpier_http::{Handler, IncomingRequest, Reply};
 use jackdawpier_kernel::{
     ids::JobId,
-    task::{Size, StartTask, TASKS_PATH, TaskAction, TaskCommand, TaskReport, TaskState},
+    task::{StartTask, TASKS_PATH, TaskAction, TaskCommand, TaskReport, TaskResources, TaskState},
 };
 use serde::{Deserialize, Serialize};
 
@@ -44,7 +44,7 @@
 
     fn report(&self) -> TaskReport {
         let ran = self.started_at.elapsed();
-        let usage = if ran > USAGE_LAG { self.start.size } else { Size::default() };
+        let usage = if ran > USAGE_LAG { self.start.size } else { TaskResources::default() };
         TaskReport {
             job: self.start.job.clone(),
             attempt: self.start.attempt,
--- a/crates/jackdawpier_standin/tests/faults.rs
+++ b/crates/jackdawpier_standin/tests/faults.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use jackdawpier_kernel::task::{
-    Size, StartTask, TASKS_PATH, TaskAction, TaskCommand, TaskReport, TaskState,
+    StartTask, TASKS_PATH, TaskAction, TaskCommand, TaskReport, TaskResources, TaskState,
 };
 use jackdawpier_standin::{
     process::{any_port, spawn as spawn_standin},
@@ -44,7 +44,7 @@
         attempt,
         class: "c".into(),
         customer: "k".into(),
-        size: Size::default(),
+        size: TaskResources::default(),
         lease_ms: 60_000,
         payload: format!(r#"{{"nonce": 1, "work_us": {work_us}}}"#),
     };
--- a/crates/jackdawpierd/src/capacity.rs
+++ b/crates/jackdawpierd/src/capacity.rs
@@ -29,7 +29,7 @@
 };
 use jackdawpier_kernel::{
     Now,
-    instance::{FREE_POOL, Instance, ORDERS_PATH, Order, OrderAction, State as InstanceState},
+    instance::{FREE_POOL, Instance, InstanceState, ORDERS_PATH, Order, OrderAction},
 };
 use jackdawpier_settings::declaration::Class;
 use jackdawpier_store::{Request, StoreResult};
--- a/crates/jackdawpierd/src/capacity/fleet_view.rs
+++ b/crates/jackdawpierd/src/capacity/fleet_view.rs
@@ -12,7 +12,7 @@
     fleet::{Location, Phase, PoolTarget},
     forecast::{Forecast, forecast},
 };
-use jackdawpier_kernel::instance::{FREE_POOL, Instance, State as InstanceState};
+use jackdawpier_kernel::instance::{FREE_POOL, Instance, InstanceState};
 use jackdawpier_settings::declaration::Class;
 
 use super::{Inputs, MILLI, State};
--- a/crates/jackdawpierd/src/commands/run.rs
+++ b/crates/jackdawpierd/src/commands/run.rs
@@ -18,7 +18,7 @@
         eprintln!("logs can't be set up: {error}");
         return ExitStatus::Failure;
     }
-    if let Some(clash) = plugin::clashes(&plugin::plugins()).first() {
+    if let Some(clash) = plugin::name_conflicts(&plugin::plugins()).first() {
         eprintln!("two roles claim {}: {:?}", clash.subject, clash.roles);
         return ExitStatus::Failure;
     }
--- a/crates/jackdawpierd/src/executor_client.rs
+++ b/crates/jackdawpierd/src/executor_client.rs
@@ -3,7 +3,7 @@
 use std::{io, time::Duration};
 
 use jackdawpier_kernel::{headers, outcome::Answer, trace::TraceContext};
-use jackdawpier_route::dispatcher::AttemptEnd;
+use jackdawpier_route::dispatcher::AttemptOutcome;
 
 use crate::messages::WorkRequest;
 
@@ -18,7 +18,7 @@
 /// The end of one attempt.
 #[derive(Debug)]
 pub(crate) struct Attempt {
-    pub(crate) end: AttemptEnd,
+    pub(crate) end: AttemptOutcome,
     /// The whole answer, if there is one.
     pub(crate) answer: Option<Answer>,
     /// What went wrong, for the caller and the log.
@@ -28,7 +28,7 @@
 }
 
 impl Attempt {
-    fn failed(end: AttemptEnd, detail: impl ToString) -> Self {
+    fn failed(end: AttemptOutcome, detail: impl ToString) -> Self {
         Self { end, answer: None, detail: detail.to_string(), is_leaving: false }
     }
 }
@@ -74,7 +74,7 @@
         };
         let Ok(request) = request.body(work.body.as_slice()) else {
             return Attempt::failed(
-                AttemptEnd::Declined { is_leaving: false },
+                AttemptOutcome::Declined { is_leaving: false },
                 "not a valid request",
             );
         };
@@ -104,19 +104,19 @@
             header("content-length").is_some() || header("transfer-encoding").is_some();
         let body = response.body_mut().with_config().limit(self.max_answer_bytes).read_to_vec();
         let end = match &body {
-            _ if is_not_run => AttemptEnd::Declined { is_leaving },
-            Err(_) => AttemptEnd::Lost,
+            _ if is_not_run => AttemptOutcome::Declined { is_leaving },
+            Err(_) => AttemptOutcome::Lost,
             // Without a length or an end marker, a whole answer looks like a broken one.
-            Ok(body) if !is_delimited && !body.is_empty() => AttemptEnd::Lost,
-            Ok(_) if repeated_id.is_some_and(|id| id != work.request_id) => AttemptEnd::Lost,
-            Ok(_) if status >= SERVER_ERROR => AttemptEnd::Failed,
-            Ok(_) => AttemptEnd::Answered,
+            Ok(body) if !is_delimited && !body.is_empty() => AttemptOutcome::Lost,
+            Ok(_) if repeated_id.is_some_and(|id| id != work.request_id) => AttemptOutcome::Lost,
+            Ok(_) if status >= SERVER_ERROR => AttemptOutcome::Failed,
+            Ok(_) => AttemptOutcome::Answered,
         };
         let detail = match &body {
             Err(error) => error.to_string(),
             Ok(_) => format!("executor's status {status}"),
         };
-        let answer = body.ok().filter(|_| end == AttemptEnd::Answered).map(|body| Answer {
+        let answer = body.ok().filter(|_| end == AttemptOutcome::Answered).map(|body| Answer {
             status,
             content_type,
             body,
@@ -126,14 +126,14 @@
 }
 
 /// Only a failure to connect proves that no byte was sent.
-fn classify(error: &ureq::Error) -> AttemptEnd {
+fn classify(error: &ureq::Error) -> AttemptOutcome {
     match error {
         ureq::Error::ConnectionFailed | ureq::Error::Timeout(ureq::Timeout::Connect) => {
-            AttemptEnd::NotConnected
+            AttemptOutcome::NotConnected
         }
         ureq::Error::Io(io) if io.kind() == io::ErrorKind::ConnectionRefused => {
-            AttemptEnd::NotConnected
+            AttemptOutcome::NotConnected
         }
-        _ => AttemptEnd::Lost,
+        _ => AttemptOutcome::Lost,
     }
 }
--- a/crates/jackdawpierd/src/instance_reader.rs
+++ b/crates/jackdawpierd/src/instance_reader.rs
@@ -6,7 +6,7 @@
 };
 
 use jackdawpier_client::ClientLimits;
-use jackdawpier_kernel::instance::{InstanceList, LIST_PATH};
+use jackdawpier_kernel::instance::{INSTANCES_PATH, InstanceList};
 
 use crate::entry::Entry;
 
@@ -25,7 +25,7 @@
     std::thread::spawn(move || {
         let _context = runtime.enter();
         let agent = jackdawpier_client::agent(LIMITS);
-        let url = format!("{}{LIST_PATH}", entry.settings.instance_list_url);
+        let url = format!("{}{INSTANCES_PATH}", entry.settings.instance_list_url);
         loop {
             match read(&agent, &url) {
                 Ok(list) => take(&entry, list),
--- a/crates/jackdawpierd/src/metrics.rs
+++ b/crates/jackdawpierd/src/metrics.rs
@@ -3,7 +3,7 @@
 use std::{sync::atomic::AtomicU64, time::Duration};
 
 use jackdawpier_kernel::outcome::Outcome;
-use jackdawpier_route::dispatcher::AttemptEnd;
+use jackdawpier_route::dispatcher::AttemptOutcome;
 use prometheus_client::{
     encoding::{EncodeLabelSet, text::encode},
     metrics::{
@@ -117,13 +117,13 @@
     }
 }
 
-fn end_name(end: AttemptEnd) -> &'static str {
+fn end_name(end: AttemptOutcome) -> &'static str {
     match end {
-        AttemptEnd::Answered => "answered",
-        AttemptEnd::NotConnected => "not_connected",
-        AttemptEnd::Declined { .. } => "declined",
-        AttemptEnd::Failed => "failed",
-        AttemptEnd::Lost => "lost",
+        AttemptOutcome::Answered => "answered",
+        AttemptOutcome::NotConnected => "not_connected",
+        AttemptOutcome::Declined { .. } => "declined",
+        AttemptOutcome::Failed => "failed",
+        AttemptOutcome::Lost => "lost",
     }
 }
 
@@ -138,7 +138,7 @@
         self.latency.observe(took.as_secs_f64());
     }
 
-    pub(crate) fn count_attempt(&self, class: &str, end: AttemptEnd) {
+    pub(crate) fn count_attempt(&self, class: &str, end: AttemptOutcome) {
         let labels = AttemptLabels { class: class.to_owned(), end: end_name(end) };
         self.attempts.get_or_create(&labels).inc();
     }
--- a/crates/jackdawpierd/src/router.rs
+++ b/crates/jackdawpierd/src/router.rs
@@ -7,7 +7,7 @@
     outcome::{Outcome, RefusalReason},
 };
 use jackdawpier_peer::PeerError;
-use jackdawpier_route::directory::{Place, place_keyed, place_unkeyed};
+use jackdawpier_route::routing::{RouteTarget, route_keyed, route_unkeyed};
 
 use crate::{
     entry::{Coordination, Entry, PeerContact},
@@ -43,19 +43,25 @@
     fresh_contact(entry, coordination, peer).is_some_and(|contact| contact.is_ready)
 }
 
-fn place(entry: &Entry, work: &WorkRequest, needs_owner: bool) -> (Place, Option<SocketAddr>) {
+fn place(
+    entry: &Entry,
+    work: &WorkRequest,
+    needs_owner: bool,
+) -> (RouteTarget, Option<SocketAddr>) {
     let mut coordination = entry.coordination();
     let ranking = coordination.view.ranking(&work.service);
     let view = &coordination.view;
     let reachable = |peer: &str| is_reachable(entry, &coordination, peer);
     let place = if needs_owner {
         let owner = view.owner(&work.service).map(|owner| &*owner.entry);
-        place_keyed(entry.name(), owner, reachable)
+        route_keyed(entry.name(), owner, reachable)
     } else {
-        place_unkeyed(&ranking, entry.name(), entry.is_stopping(), reachable)
+        route_unkeyed(&ranking, entry.name(), entry.is_stopping(), reachable)
     };
     let address = match &place {
-        Place::Peer(peer) => view.member(peer).and_then(|member| member.peer_address.parse().ok()),
+        RouteTarget::Peer(peer) => {
+            view.member(peer).and_then(|member| member.peer_address.parse().ok())
+        }
         _ => None,
     };
     (place, address)
@@ -80,13 +86,13 @@
             return last;
         }
         match place(entry, &work, needs_owner) {
-            (Place::Here, _) => {
+            (RouteTarget::Local, _) => {
                 let outcome = entry.service(&work.service).submit(work.clone()).await;
                 if !is_no_owner(&outcome) {
                     return outcome;
                 }
             }
-            (Place::Peer(peer), Some(address)) => {
+            (RouteTarget::Peer(peer), Some(address)) => {
                 match forward(entry, &peer, address, &work).await {
                     Ok(outcome) if is_no_owner(&outcome) => {}
                     Ok(outcome) => return outcome,
--- a/crates/jackdawpierd/src/service.rs
+++ b/crates/jackdawpierd/src/service.rs
@@ -20,7 +20,7 @@
 use jackdawpier_route::{
     dedupe::{Dedupe, KeyState},
     dispatcher::Dispatcher,
-    former::FormerKeys,
+    lost_shard::LostShardKeys,
 };
 use jackdawpier_settings::declaration::Class;
 use serde::{Deserialize, Serialize};
@@ -100,7 +100,7 @@
     pub(crate) kept_alive: Vec<(WorkerId, TaskCommand)>,
     pub(crate) owned: Option<Owned>,
     /// Keys of the shard from the time before this entry lost it.
-    pub(crate) former: FormerKeys,
+    pub(crate) former: LostShardKeys,
     pub(crate) next_ticket: Ticket,
     pub(crate) next_generation: u64,
 }
@@ -155,7 +155,7 @@
             classes: Vec::new(),
             kept_alive: Vec::new(),
             owned: None,
-            former: FormerKeys::new(entry.settings.timing.answer_retention),
+            former: LostShardKeys::new(entry.settings.timing.answer_retention),
             next_ticket: 0,
             next_generation: 0,
         };
@@ -281,7 +281,7 @@
 
     /// What this entry remembers of a key that it owned before, as JSON.
     pub(crate) fn recall(&self, key: &str) -> Option<String> {
-        let state = self.lock().former.recall(key)?;
+        let state = self.lock().former.get(key)?;
         Some(serde_json::to_string(&state).expect("states are plain data"))
     }
 
--- a/crates/jackdawpierd/src/service_jobs.rs
+++ b/crates/jackdawpierd/src/service_jobs.rs
@@ -11,9 +11,9 @@
 use jackdawpier_kernel::{
     Now,
     ids::{JobId, ServiceName, WorkerId},
-    instance::{Instance, Role, State as InstanceState},
+    instance::{Instance, InstanceRole, InstanceState},
     outcome::{Outcome, RefusalReason},
-    task::{Size, StartTask, TaskCommand, TaskReport},
+    task::{StartTask, TaskCommand, TaskReport, TaskResources},
 };
 use tokio::sync::oneshot;
 
@@ -23,7 +23,8 @@
 };
 
 /// Size assumed for a job: callers declare none in the request today.
-const DEFAULT_SIZE: Size = Size { cores_milli: 1_000, memory_mb: 1_024, accelerators: 0 };
+const DEFAULT_SIZE: TaskResources =
+    TaskResources { cores_milli: 1_000, memory_mb: 1_024, accelerators: 0 };
 const MILLI: u64 = 1_000;
 const MB_PER_GB: u64 = 1_024;
 
@@ -268,7 +269,8 @@
         instances: &[Instance],
         name: &ServiceName,
     ) -> Vec<Action> {
-        let workers = || instances.iter().filter(|i| i.role == Role::Worker && i.service == *name);
+        let workers =
+            || instances.iter().filter(|i| i.role == InstanceRole::Worker && i.service == *name);
         for instance in workers() {
             self.worker_addresses.insert(instance.id.clone(), instance.address.clone());
         }
@@ -282,7 +284,7 @@
                 id: instance.id.clone(),
                 zone: instance.zone.clone(),
                 rack: instance.rack.clone(),
-                capacity: Size {
+                capacity: TaskResources {
                     cores_milli: u64::from(instance.cores) * MILLI,
                     memory_mb: u64::from(instance.memory_gb) * MB_PER_GB,
                     accelerators: instance.accelerators,
--- a/crates/jackdawpierd/src/service_state.rs
+++ b/crates/jackdawpierd/src/service_state.rs
@@ -11,14 +11,14 @@
 use jackdawpier_kernel::{
     Now,
     ids::{RequestKey, ServiceName, Ticket},
-    instance::{Instance, Role, State as InstanceState},
+    instance::{Instance, InstanceRole, InstanceState},
     outcome::{Outcome, RefusalReason},
 };
 use jackdawpier_route::{
-    dedupe::{Decision, Dedupe, KeyState, Settled},
+    dedupe::{Decision, Dedupe, KeyState, Resolution},
     dispatcher::{Command, RequestInfo},
     executors::ExecutorInfo,
-    former::FormerKeys,
+    lost_shard::LostShardKeys,
 };
 use jackdawpier_settings::declaration::{Class, Kind};
 use tokio::sync::oneshot;
@@ -126,34 +126,38 @@
         reply: oneshot::Sender<Outcome>,
     ) -> Vec<Action> {
         let deadline = now + work.time_left;
-        let admitted = self.dispatcher.admits(now, &work.class, &work.customer, deadline);
+        let admitted = self.dispatcher.check_admission(now, &work.class, &work.customer, deadline);
         let owned = self.owned.as_mut().expect("only an owner gets here");
         let subject = key_subject(&work);
         match owned.dedupe.begin(&subject, fingerprint(&work), ticket) {
             Decision::Wait => {
                 owned.waiters.insert(ticket, reply);
             }
-            Decision::Ask(entry) => {
+            Decision::QueryWriter(entry) => {
                 owned.waiters.insert(ticket, reply);
                 let opened_at = owned.opened_at;
                 return vec![Action::Recall { entry, key: subject, opened_at, deadline }];
             }
-            Decision::Repeat(outcome) => {
+            Decision::Replay(outcome) => {
                 let _ = reply.send(outcome);
             }
             Decision::KeyReused => {
                 let _ = reply.send(not_run(RefusalReason::BadRequest, Duration::ZERO));
             }
-            Decision::Record { state } => {
+            Decision::WriteIntent { state } => {
                 if let Err(refusal) = admitted {
                     let outcome = not_run(refusal.reason, refusal.retry_after);
                     // Nothing was written for this key yet, so nothing has to be released.
-                    owned.dedupe.end(now, &subject, &outcome);
+                    owned.dedupe.record_outcome(now, &subject, &outcome);
                     let _ = reply.send(outcome);
                     return Vec::new();
                 }
                 let number = owned.cell.put(Arc::clone(&subject), &CellState::Key(state));
-                owned.dedupe.recording(number.expect("the cell is open"), ticket, &subject);
+                owned.dedupe.on_intent_write_queued(
+                    number.expect("the cell is open"),
+                    ticket,
+                    &subject,
+                );
                 owned.uncommitted.insert(ticket);
                 let running =
                     Running { work: Arc::new(work), reply: Some(reply), deadline, is_idempotent };
@@ -173,7 +177,7 @@
             deadline: running.deadline,
             is_idempotent: running.is_idempotent,
         };
-        let commands = self.dispatcher.arrive(now, info);
+        let commands = self.dispatcher.submit(now, info);
         self.follow(now, commands)
     }
 
@@ -211,7 +215,7 @@
         } else {
             log::debug!(event = "attempt_failed"; "{:?}: {}", attempt.end, attempt.detail);
         }
-        let commands = self.dispatcher.attempt_ended(now, ticket, attempt.end);
+        let commands = self.dispatcher.finish_attempt(now, ticket, attempt.end);
         actions.extend(self.follow(now, commands));
         actions
     }
@@ -231,11 +235,11 @@
     /// Records the end of a key, or remembers it for the owner where the shard was lost meanwhile.
     fn end_key(&mut self, now: Now, key: &RequestKey, outcome: &Outcome) -> Vec<Action> {
         let Some(owned) = &mut self.owned else {
-            self.former.end(now, key, outcome);
+            self.former.record_outcome(now, key, outcome);
             return Vec::new();
         };
-        let Some((state, waiters)) = owned.dedupe.end(now, key, outcome) else {
-            self.former.end(now, key, outcome);
+        let Some((state, waiters)) = owned.dedupe.record_outcome(now, key, outcome) else {
+            self.former.record_outcome(now, key, outcome);
             return Vec::new();
         };
         owned.write_end(key, state);
@@ -251,14 +255,14 @@
         word: Option<KeyState>,
     ) -> Vec<Action> {
         let Some(owned) = &mut self.owned else { return Vec::new() };
-        match owned.dedupe.settle(key, word) {
-            Settled::Write(state) => owned.write_end(key, state),
-            Settled::Release(waiters) => {
+        match owned.dedupe.resolve(key, word) {
+            Resolution::WriteEnd(state) => owned.write_end(key, state),
+            Resolution::Release(waiters) => {
                 owned.write_end(key, KeyState::Released);
                 // The router takes this as a change of the owner and asks again by itself.
                 owned.answer(&waiters, &not_run(RefusalReason::NoOwner, OWNER_RETRY_AFTER));
             }
-            Settled::Unknown(waiters) => {
+            Resolution::Unknown(waiters) => {
                 let detail = "an earlier owner may have sent this request".to_owned();
                 owned.answer(&waiters, &Outcome::Unknown { detail });
             }
@@ -337,9 +341,9 @@
                     owned.recover(now, states, &mut self.former);
                 }
                 Output::Committed { up_to } => {
-                    let committed = owned.dedupe.committed(up_to);
+                    let committed = owned.dedupe.on_committed(up_to);
                     let commands = owned.jobs.on_committed(now, up_to);
-                    for (outcome, waiters) in &committed.learned {
+                    for (outcome, waiters) in &committed.resolved {
                         owned.answer(waiters, outcome);
                     }
                     for ticket in committed.sendable {
@@ -391,7 +395,7 @@
     pub(crate) fn drop_owned(&mut self, now: Now) {
         let Some(owned) = self.owned.take() else { return };
         self.kept_alive = owned.jobs.keep_alive_renewals();
-        for ticket in owned.dedupe.retire(now, &mut self.former) {
+        for ticket in owned.dedupe.release_ownership(now, &mut self.former) {
             let reply = self.requests.remove(&ticket).and_then(|mut running| running.reply.take());
             if let Some(reply) = reply {
                 let _ = reply.send(not_run(RefusalReason::NoOwner, OWNER_RETRY_AFTER));
@@ -412,7 +416,7 @@
         }
         self.classes = classes;
         let executors =
-            || instances.iter().filter(|i| i.role == Role::Executor && i.service == *name);
+            || instances.iter().filter(|i| i.role == InstanceRole::Executor && i.service == *name);
         let present: HashSet<&str> = executors().map(|instance| &*instance.id).collect();
         // An empty list is more likely a fault of the list than the loss of every executor.
         if !present.is_empty() {
@@ -437,7 +441,12 @@
 }
 
 impl Owned {
-    fn recover(&mut self, now: Now, states: Vec<(RequestKey, CellState)>, former: &mut FormerKeys) {
+    fn recover(
+        &mut self,
+        now: Now,
+        states: Vec<(RequestKey, CellState)>,
+        former: &mut LostShardKeys,
+    ) {
         let mut keys = Vec::new();
         for (subject, state) in states {
             match state {
@@ -452,7 +461,7 @@
 
     fn write_end(&mut self, key: &RequestKey, state: KeyState) {
         if let Some(number) = self.cell.put(Arc::clone(key), &CellState::Key(state)) {
-            self.dedupe.ending(number, key);
+            self.dedupe.on_end_write_queued(number, key);
         }
     }
 
--- a/crates/jackdawpierd/src/status.rs
+++ b/crates/jackdawpierd/src/status.rs
@@ -71,13 +71,13 @@
 
 /// Gathers the status.
 pub(crate) fn gather(entry: &Arc<Entry>) -> Status {
-    use jackdawpier_kernel::instance::{Role, State};
+    use jackdawpier_kernel::instance::{InstanceRole, InstanceState};
     let is_ready = entry.is_ready();
     let instances = entry.instances();
-    let live = |service: &str, role: Role| {
+    let live = |service: &str, role: InstanceRole| {
         instances
             .iter()
-            .filter(|i| i.role == role && i.state == State::Live && *i.service == *service)
+            .filter(|i| i.role == role && i.state == InstanceState::Live && *i.service == *service)
             .count()
     };
     let now = entry.now();
@@ -127,8 +127,8 @@
             class: class.name.to_string(),
             finish_within_ms: class.finish_within_ms,
             capacity_instances: class.capacity_instances,
-            live_executors: live(&class.service, Role::Executor),
-            live_workers: live(&class.service, Role::Worker),
+            live_executors: live(&class.service, InstanceRole::Executor),
+            live_workers: live(&class.service, InstanceRole::Worker),
             service: class.service.to_string(),
         })
         .collect();
--- a/crates/jackdawpierd/tests/support/mod.rs
+++ b/crates/jackdawpierd/tests/support/mod.rs
@@ -13,7 +13,7 @@
     time::{Duration, Instant},
 };
 
-use jackdawpier_kernel::instance::{Instance, Role, State};
+use jackdawpier_kernel::instance::{Instance, InstanceRole, InstanceState};
 use jackdawpier_standin::{
     executor, instance_list, keys,
     load::{self, LoadPlan, MixPart},
@@ -164,13 +164,18 @@
             let address =
                 spawn_standin(|ready| executor::run(any_port(), 8, 64, move |at| send(&ready, at)));
             let id = format!("widgets-{index}");
-            deployment.register(&id, Role::Executor, "widgets", address);
+            deployment.register(&id, InstanceRole::Executor, "widgets", address);
             deployment.executors.push((id, address));
         }
         for index in 0..workers {
             let address =
                 spawn_standin(|ready| worker::run(any_port(), move |at| send(&ready, at)));
-            deployment.register(&format!("worker-{index}"), Role::Worker, "refresh", address);
+            deployment.register(
+                &format!("worker-{index}"),
+                InstanceRole::Worker,
+                "refresh",
+                address,
+            );
             deployment.workers.push(address);
         }
         deployment
@@ -199,7 +204,7 @@
     pub(crate) fn with_slow_list(mut self, more: usize, bytes_per_s: u32) -> Self {
         for index in 0..more {
             let id = format!("others-{index}");
-            let mut instance = instance(&id, Role::Executor, "others", any_port());
+            let mut instance = instance(&id, InstanceRole::Executor, "others", any_port());
             instance.rack = "r".repeat(10_000).as_str().into();
             instance_list::register(&format!("http://{}", self.list), &instance).expect("it is up");
         }
@@ -208,7 +213,7 @@
         self
     }
 
-    fn register(&self, id: &str, role: Role, service: &str, address: SocketAddr) {
+    fn register(&self, id: &str, role: InstanceRole, service: &str, address: SocketAddr) {
         let instance = instance(id, role, service, address);
         instance_list::register(&format!("http://{}", self.list), &instance).expect("it is up");
     }
@@ -301,7 +306,7 @@
     }
 }
 
-fn instance(id: &str, role: Role, service: &str, address: SocketAddr) -> Instance {
+fn instance(id: &str, role: InstanceRole, service: &str, address: SocketAddr) -> Instance {
     Instance {
         id: id.into(),
         role,
@@ -310,7 +315,7 @@
         address: address.to_string(),
         zone: "riga-1".into(),
         rack: "rack-1".into(),
-        state: State::Live,
+        state: InstanceState::Live,
         last_order: String::new(),
         slots: 8,
         connections: 64,
