--- a/crates/jackdawpier_entry/src/owner/explain.rs
+++ b/crates/jackdawpier_entry/src/owner/explain.rs
@@ -113,8 +113,8 @@
 
 /// Without a pause it isn't started again.
 fn tried_again_later(pause: &CrashBackoff) -> Value {
-    let CrashBackoff { task, run, crashes, lasts_for } = pause;
-    let pause_ms = lasts_for.map(|time| time.as_millis() as u64);
+    let CrashBackoff { task, run, crashes, duration } = pause;
+    let pause_ms = duration.map(|time| time.as_millis() as u64);
     json!({ "task": task.to_string(), "run": run, "crashes": crashes, "pause_ms": pause_ms })
 }
 
--- a/crates/jackdawpier_fleet/src/fleet/crash_attribution.rs
+++ b/crates/jackdawpier_fleet/src/fleet/crash_attribution.rs
@@ -1,4 +1,4 @@
-//! Tasks that may be the cause when their executors crash, and those that are given up for it.
+//! Attributes executor crashes to the tasks that ran there, and gives up tasks that keep causing them.
 //!
 //! See `docs/design/lives.md`.
 
@@ -20,67 +20,68 @@
     spec::{RunNumber, StepSpec, TaskKey},
 };
 
-/// An executor that answers this long after a start has survived it: some ten times what a task that
-/// crashes its executor at once takes for that.
-const SUDDEN: Duration = Duration::from_millis(100);
-/// What ran on an executor that has been silent for longer may have ended before it crashed: one long
-/// poll and its timeout.
-const KNOWN_FOR: Duration = Duration::from_millis(1500);
-/// An executor that a list of machines names this long after it fell silent was cut off: what it ran may have ended
-/// unheard.
-const LIVED_ON: Duration = Duration::from_millis(300);
-/// Where no list of machines was seen for this long an executor may have been cut off or taken before it was missed.
-const LISTS_MISSED: Duration = Duration::from_secs(2);
-/// An order without an answer tells something only of an executor that was heard of this shortly before
-/// the order left; another one may have been gone by then.
-const ALIVE_BEFORE_ORDER: Duration = Duration::from_millis(300);
-/// A task that lasts and has run for this long is no cause, neither of this crash nor of earlier ones: it
-/// has been at work, and is there whenever its executor crashes of another.
-const LASTING_PROOF: Duration = Duration::from_secs(2);
-/// Executors of a service that are kept from starting anything at a time, for suspects that wait.
-const QUIETED_AT_ONCE: usize = 2;
+/// A crash later than this after a start isn't attributed to the start itself. About ten times the time
+/// that a task which crashes its executor on start needs for it.
+const START_CRASH_WINDOW: Duration = Duration::from_millis(100);
+/// Maximum age of an executor's last report for its runs to count as present at the crash: one long poll
+/// and its timeout. Runs may have ended unreported after that.
+const MAX_REPORT_AGE: Duration = Duration::from_millis(1500);
+/// An executor that is still in the list of machines this long after its last answer was partitioned: its runs may have
+/// ended unreported.
+const LISTED_AFTER_SILENCE: Duration = Duration::from_millis(300);
+/// Maximum gap between lists of machines. After a longer one the executor may have been partitioned, or its machine
+/// taken, before the loss was noticed.
+const MAX_LISTING_GAP: Duration = Duration::from_secs(2);
+/// Maximum time between an executor's last answer and an order to it. An executor that was silent for
+/// longer may already have crashed when the order was sent.
+const MAX_SILENCE_BEFORE_ORDER: Duration = Duration::from_millis(300);
+/// A long-running task is cleared of this and earlier crashes after this run time. It is present at every
+/// crash of its executor, whatever the cause.
+const CLEARING_RUN_TIME: Duration = Duration::from_secs(2);
+/// Maximum number of executors per service that are reserved for waiting suspects at the same time.
+const MAX_RESERVED_FOR_SUSPECTS: usize = 2;
 
-/// A task under which an executor has crashed.
+/// A crash of an executor that counts against a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct TaskCrash {
     /// The task.
     pub task: TaskKey,
-    /// Number of the start.
+    /// The run number.
     pub run: RunNumber,
     /// The executor.
     pub executor: ExecutorId,
-    /// What is known of this crash.
+    /// The evidence against the task.
     pub crash: Crash,
-    /// Executors that have crashed under it by now.
+    /// Number of crashes that count against the task so far.
     pub crashes: usize,
 }
 
-/// A task that isn't started again, or only after a pause if it lasts, since executors crash under it.
+/// A task that isn't started again because executors crashed while they ran it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GivenUpTask {
     /// The task.
     pub task: TaskKey,
-    /// Number of its last start.
+    /// Number of its last run.
     pub run: RunNumber,
-    /// Executors that have crashed under it.
+    /// Number of crashes that count against the task.
     pub crashes: usize,
-    /// Its job lasts, so the other tasks of it go on.
+    /// Its job is long-running, so the job's other tasks keep running.
     pub job_goes_on: bool,
 }
 
 impl Fleet {
-    /// Tasks under which executors have crashed since the last call.
+    /// Takes the crashes that were counted against tasks since the last call.
     pub fn take_task_crashes(&mut self) -> Vec<TaskCrash> {
         std::mem::take(&mut self.task_crashes)
     }
 
-    /// Tasks that were given up since the last call.
+    /// Takes the tasks that were given up since the last call.
     pub fn take_given_up_tasks(&mut self) -> Vec<GivenUpTask> {
         std::mem::take(&mut self.given_up)
     }
 
-    /// Counts the crash of an executor against the tasks that were ordered there; `signs` are the last of
-    /// the life that crashed.
+    /// Counts the crash of an executor against the tasks that were ordered there; `signs` are the last
+    /// contacts with the incarnation that crashed.
     pub(super) fn note_crash(
         &mut self,
         now: Now,
@@ -95,64 +96,69 @@
             .filter_map(|one| {
                 let job = self.jobs.get(&one.0)?;
                 let (task, step) = (&job.tasks[one.1], job.step(one.1));
-                Some((one, crash_under(now, task, step, signs, is_certain)?))
+                Some((one, assess_crash(now, task, step, signs, is_certain)?))
             })
             .collect();
-        let watched = self.isolated_task(id, signs);
-        let present = crashes.iter().map(|(task, crash)| ((*task).clone(), crash.run)).collect();
-        let is_spontaneous =
-            is_certain && tasks.iter().all(|task| self.seen_for(task, signs) >= LASTING_PROOF);
+        let isolated = self.isolated_task(id, signs);
+        let runs = crashes.iter().map(|(task, crash)| ((*task).clone(), crash.run)).collect();
+        let is_spontaneous = is_certain
+            && tasks.iter().all(|task| self.observed_run_time(task, signs) >= CLEARING_RUN_TIME);
         self.recent_crashes.note(ExecutorCrash {
             at: now,
             service: self.executors.get(id).and_then(Executor::service),
-            is_watched: watched.is_some(),
+            is_watched: isolated.is_some(),
             is_spontaneous,
-            present,
+            runs,
         });
-        let confirmed = crashes.iter().filter_map(|(task, _)| self.lived(task, signs));
+        let confirmed = crashes.iter().filter_map(|(task, _)| self.confirmed_run_time(task, signs));
         let shortest = confirmed.min();
-        let has_newcomer = shortest.is_some_and(|lived| lived < LASTING_PROOF);
+        let has_recent_start = shortest.is_some_and(|run_time| run_time < CLEARING_RUN_TIME);
         for (task_ref, mut crash) in crashes {
-            if self.lasts(task_ref) && self.seen_for(task_ref, signs) >= LASTING_PROOF {
+            if self.is_long_running_task(task_ref)
+                && self.observed_run_time(task_ref, signs) >= CLEARING_RUN_TIME
+            {
                 self.clear_crashes(task_ref);
                 continue;
             }
-            let lived = self.lived(task_ref, signs);
-            // One whose start was never confirmed may not have begun at all.
-            let has_likelier_cause = match (lived, shortest) {
-                (Some(lived), Some(shortest)) => !crash.is_sudden && lived > shortest + SUDDEN,
-                _ => has_newcomer,
+            let run_time = self.confirmed_run_time(task_ref, signs);
+            // A run whose start was never confirmed may not have begun at all.
+            let has_likelier_cause = match (run_time, shortest) {
+                (Some(run_time), Some(shortest)) => {
+                    !crash.is_sudden && run_time > shortest + START_CRASH_WINDOW
+                }
+                _ => has_recent_start,
             };
             crash.is_shared |= has_likelier_cause && self.settings.policy.weighs_life;
-            crash.is_watched = self.saw_start(task_ref)
-                && watched.as_ref().is_some_and(|one| self.start_together(one, task_ref));
-            self.blame(id, task_ref, crash);
+            crash.is_watched = self.start_confirmed_here(task_ref)
+                && isolated.as_ref().is_some_and(|one| self.is_same_task_or_gang(one, task_ref));
+            self.attribute_crash(id, task_ref, crash);
         }
     }
 
-    /// How long an executor was heard of after it had confirmed the start of a task; none if it never did.
-    fn lived(&self, task_ref: &TaskRef, signs: LastSigns) -> Option<Duration> {
-        self.task(task_ref).and_then(|task| survived(task, signs))
+    /// Returns the time between the confirmation of a task's start and the executor's last answer; none if
+    /// the start was never confirmed.
+    fn confirmed_run_time(&self, task_ref: &TaskRef, signs: LastSigns) -> Option<Duration> {
+        self.task(task_ref).and_then(|task| run_time(task, signs))
     }
 
-    /// For how long this owner has seen a task alive.
-    fn seen_for(&self, task_ref: &TaskRef, signs: LastSigns) -> Duration {
+    /// Returns for how long this owner has observed a task running.
+    fn observed_run_time(&self, task_ref: &TaskRef, signs: LastSigns) -> Duration {
         let confirmed_at = self.task(task_ref).and_then(|task| task.confirmed_at);
-        let seen_from = confirmed_at.map(|at| at.max(self.started_at));
-        seen_from.map(|at| signs.last_answer.saturating_sub(at)).unwrap_or_default()
+        let observed_from = confirmed_at.map(|at| at.max(self.started_at));
+        observed_from.map(|at| signs.last_answer.saturating_sub(at)).unwrap_or_default()
     }
 
-    /// Whether the executor has confirmed the start of a task to this owner.
-    fn saw_start(&self, task_ref: &TaskRef) -> bool {
+    /// Returns whether the executor has confirmed the start of a task to this owner.
+    fn start_confirmed_here(&self, task_ref: &TaskRef) -> bool {
         let confirmed_at = self.task(task_ref).and_then(|task| task.confirmed_at);
         confirmed_at.is_some_and(|at| at >= self.started_at)
     }
 
-    fn lasts(&self, task_ref: &TaskRef) -> bool {
+    fn is_long_running_task(&self, task_ref: &TaskRef) -> bool {
         self.jobs.get(&task_ref.0).is_some_and(|job| job.step(task_ref.1).is_long_running)
     }
 
-    fn blame(&mut self, id: &ExecutorId, task_ref: &TaskRef, crash: Crash) {
+    fn attribute_crash(&mut self, id: &ExecutorId, task_ref: &TaskRef, crash: Crash) {
         let Some(job) = self.jobs.get_mut(&task_ref.0) else { return };
         let task_key = job.key(task_ref.1);
         let task = &mut job.tasks[task_ref.1];
@@ -160,7 +166,7 @@
             return;
         }
         let (run, crashes) = (task.run, task.crashes().len());
-        // The run may not be over for this owner yet, and the next one has to know.
+        // The run may still be open for this owner, so the crash is written for the next owner now.
         self.mark_changed(&task_ref.0);
         self.task_crashes.push(TaskCrash {
             task: task_key,
@@ -171,15 +177,15 @@
         });
     }
 
-    /// The task that was watched on an executor when it was last heard of.
+    /// Returns the task that ran in isolation on an executor when the executor last answered.
     fn isolated_task(&self, id: &ExecutorId, signs: LastSigns) -> Option<TaskRef> {
         let watch = self.executors.get(id)?.watch.as_ref()?;
-        let is_on = watch.until.is_none_or(|until| signs.last_answer < until);
-        is_on.then(|| watch.task.clone())
+        let is_active = watch.until.is_none_or(|until| signs.last_answer < until);
+        is_active.then(|| watch.task.clone())
     }
 
-    /// Whether two tasks are one, or members of one gang.
-    fn start_together(&self, one: &TaskRef, other: &TaskRef) -> bool {
+    /// Returns whether two references name the same task or members of the same gang.
+    fn is_same_task_or_gang(&self, one: &TaskRef, other: &TaskRef) -> bool {
         let Some(job) = self.jobs.get(&one.0).filter(|_| one.0 == other.0) else { return false };
         let is_gang = job.step(one.1).is_gang && job.slot(one.1) == job.slot(other.1);
         is_gang || one.1 == other.1
@@ -196,27 +202,30 @@
         }
     }
 
-    /// Clears the tasks that last and have been seen alive for long enough, by a report of these runs.
+    /// Forgets the crashes of long-running tasks that have been observed for long enough; `running` are the
+    /// runs of a report.
     pub(super) fn clear_stable_tasks<'a>(
         &mut self,
         id: &ExecutorId,
         running: impl Iterator<Item = &'a TaskRef>,
     ) {
         let Some(signs) = self.executors.get(id).map(Executor::last_signs) else { return };
-        let is_cleared =
-            |task: &&TaskRef| self.lasts(task) && self.seen_for(task, signs) >= LASTING_PROOF;
+        let is_cleared = |task: &&TaskRef| {
+            self.is_long_running_task(task)
+                && self.observed_run_time(task, signs) >= CLEARING_RUN_TIME
+        };
         let cleared: Vec<&TaskRef> = running.filter(is_cleared).collect();
         cleared.into_iter().for_each(|task| self.clear_crashes(task));
     }
 
-    /// Whether a task is watched when it starts.
+    /// Returns whether a task has to start in isolation.
     pub(super) fn is_suspect(&self, job: &Job, index: TaskIndex) -> bool {
         let lasts = job.step(index).is_long_running;
         job.tasks[index].watched_for(lasts).is_some() && self.settings.policy.watches_suspects
     }
 
-    /// Whether a task can be watched on an executor: it was heard of a moment ago, so that its end means
-    /// something, and all else has survived its start there but members of its own gang.
+    /// Returns whether a suspect may start on an executor: the executor has answered recently, so that a
+    /// crash can be attributed, and no other task has just started there but members of the same gang.
     pub(super) fn can_isolate(
         &self,
         now: Now,
@@ -224,31 +233,33 @@
         job: &Job,
         index: TaskIndex,
     ) -> bool {
-        let is_fresh = executor.answered_at + ALIVE_BEFORE_ORDER >= now;
-        let may_try = !job.is_on_trial(index) || self.may_start_probation(now, job, index);
-        let may_watch = is_fresh && executor.has_survived_watch() && may_try;
-        may_watch && self.newcomers(executor, job, index) == 0
+        let has_answered_recently = executor.answered_at + MAX_SILENCE_BEFORE_ORDER >= now;
+        let is_retry_allowed = !job.is_on_trial(index) || self.may_start_probation(now, job, index);
+        let is_eligible =
+            has_answered_recently && executor.has_survived_watch() && is_retry_allowed;
+        is_eligible && self.unproven_task_count(executor, job, index) == 0
     }
 
-    /// Tasks on an executor that may yet crash of their start, other than members of a task's own gang.
-    fn newcomers(&self, executor: &Executor, job: &Job, index: TaskIndex) -> usize {
+    /// Returns the number of tasks on an executor that started too recently to be ruled out as the cause of
+    /// a crash. Members of the task's own gang don't count.
+    fn unproven_task_count(&self, executor: &Executor, job: &Job, index: TaskIndex) -> usize {
         let is_gang = job.step(index).is_gang;
-        let survives_after = survives_after(job, index);
-        let is_newcomer = |(id, other): &&TaskRef| {
-            let is_own = *id == job.id && job.slot(*other) == job.slot(index);
+        let required_run_time = required_run_time(job, index);
+        let is_unproven = |(id, other): &&TaskRef| {
+            let is_same_gang = *id == job.id && job.slot(*other) == job.slot(index);
             match self.jobs.get(id).map(|job| &job.tasks[*other].phase) {
-                _ if is_gang && is_own => false,
+                _ if is_gang && is_same_gang => false,
                 Some(Phase::Running { since, .. }) => {
-                    *since + survives_after > executor.answered_at
+                    *since + required_run_time > executor.answered_at
                 }
                 phase => !matches!(phase, Some(Phase::Stopping { .. })),
             }
         };
-        executor.tasks.iter().filter(is_newcomer).count()
+        executor.tasks.iter().filter(is_unproven).count()
     }
 
-    /// Lets nothing start in this round on the executor where a suspect task that lasts could be watched
-    /// soonest. In a busy pool there is none otherwise: whatever room there is is taken at once.
+    /// Reserves for this round the executor on which a long-running suspect could soonest start in
+    /// isolation. In a busy pool other tasks would take any free room first.
     pub(super) fn reserve_for_suspect(
         &self,
         now: Now,
@@ -257,24 +268,26 @@
         round: &mut PlacementRound,
     ) {
         let job = &self.jobs[id];
-        if !job.step(index).is_long_running || round.reserved_for_suspects >= QUIETED_AT_ONCE {
+        if !job.step(index).is_long_running
+            || round.reserved_for_suspects >= MAX_RESERVED_FOR_SUSPECTS
+        {
             return;
         }
-        let quietest = round
+        let target = round
             .executors
             .iter()
             .filter_map(|id| Some((id, self.executors.get(id)?)))
             .filter(|(_, executor)| has_room_for(executor, job, index, None))
             .filter(|(_, executor)| !executor.is_watching(now))
-            .min_by_key(|(id, executor)| (self.newcomers(executor, job, index), *id))
+            .min_by_key(|(id, executor)| (self.unproven_task_count(executor, job, index), *id))
             .map(|(id, _)| id.clone());
-        if let Some(quietest) = quietest {
-            round.executors.retain(|id| *id != quietest);
+        if let Some(target) = target {
+            round.executors.retain(|id| *id != target);
             round.reserved_for_suspects += 1;
         }
     }
 
-    /// Keeps other tasks from starting beside one that is watched.
+    /// Keeps other tasks from starting beside a suspect that was just placed.
     pub(super) fn isolate_start(&mut self, executor: &ExecutorId, id: &JobId, index: TaskIndex) {
         let is_suspect = self.jobs.get(id).is_some_and(|job| self.is_suspect(job, index));
         if let Some(executor) = self.executors.get_mut(executor).filter(|_| is_suspect) {
@@ -282,8 +295,8 @@
         }
     }
 
-    /// Ends the job of a task that isn't started again. A job that lasts goes on without it: its other
-    /// tasks serve, and stopping them would take away more at once than their step may miss.
+    /// Gives up a task that has crashed its executors too often, and fails its job. A long-running job
+    /// continues without the task: stopping the others would exceed what their step may miss.
     pub(super) fn give_up(&mut self, now: Now, task_ref: &TaskRef) {
         let Some(job) = self.jobs.get_mut(&task_ref.0) else { return };
         let task = &job.tasks[task_ref.1];
@@ -307,74 +320,78 @@
     }
 }
 
-/// How long others have to be there before a task is watched beside them. One that lasts can wait until
-/// the executors that it saw crash would have crashed by then.
-fn survives_after(job: &Job, index: TaskIndex) -> Duration {
+/// Returns how long other tasks must have run before a suspect may start beside them. A long-running
+/// suspect can wait until a neighbour that crashes its executor would have done so.
+fn required_run_time(job: &Job, index: TaskIndex) -> Duration {
     let watched_for = job.tasks[index].watched_for(true);
     watched_for
         .filter(|_| job.step(index).is_long_running)
-        .map_or(SUDDEN, |time| time.max(LASTING_PROOF))
+        .map_or(START_CRASH_WINDOW, |time| time.max(CLEARING_RUN_TIME))
 }
 
-/// As [`Fleet::lived`]; none if the start was never confirmed.
-fn survived(task: &Task, signs: LastSigns) -> Option<Duration> {
+/// Returns the time between the confirmation of a task's start and the executor's last answer; none if
+/// the start was never confirmed.
+fn run_time(task: &Task, signs: LastSigns) -> Option<Duration> {
     task.confirmed_at.map(|at| signs.last_answer.saturating_sub(at))
 }
 
-/// What the crash of its executor says of a task; none if the task may not have been there at all. One that isn't
-/// certain, or of a task whose order left when the executor had fallen silent, only counts as one that may have been.
-fn crash_under(
+/// Returns the evidence of an executor's crash against a task; none if the run may not have begun at all. A crash that
+/// is uncertain, or an order that was sent when the executor was already silent, counts as having a likelier cause.
+fn assess_crash(
     now: Now,
     task: &Task,
     step: &StepSpec,
     signs: LastSigns,
     is_certain: bool,
 ) -> Option<Crash> {
-    let survived = survived(task, signs);
+    let run_time = run_time(task, signs);
     let may_have_begun = match task.phase {
         Phase::Planned { .. } => false,
         Phase::Doubt { .. } => true,
-        _ => survived.is_some() || signs.last_answer + ALIVE_BEFORE_ORDER >= task.ordered_at,
+        _ => run_time.is_some() || signs.last_answer + MAX_SILENCE_BEFORE_ORDER >= task.ordered_at,
     };
     if !may_have_begun {
         return None;
     }
-    let was_silent =
-        survived.is_none() && signs.first_failure.is_some_and(|at| at <= task.ordered_at);
-    if was_silent || !is_certain {
+    let was_unresponsive =
+        run_time.is_none() && signs.first_failure.is_some_and(|at| at <= task.ordered_at);
+    if was_unresponsive || !is_certain {
         return Some(Crash { run: task.run, is_shared: true, ..Crash::default() });
     }
     let may_be_stopped = signs.last_answer < task.may_stop_until;
     let is_stopping = may_be_stopped || matches!(task.phase, Phase::Stopping { .. });
-    let was_there = survived.is_some() && !is_stopping && !may_have_ended(now, task, step, signs);
-    let is_confirmed = was_there && signs.hold_until_end(now);
-    let is_sudden = survived.is_none_or(|time| time <= SUDDEN);
-    let lived = lived_between(now, task, signs).filter(|_| is_confirmed);
+    let was_running =
+        run_time.is_some() && !is_stopping && !may_have_ended_unreported(now, task, step, signs);
+    let is_confirmed = was_running && signs.is_current_until_crash(now);
+    let is_sudden = run_time.is_none_or(|time| time <= START_CRASH_WINDOW);
+    let lived = run_time_bounds(now, task, signs).filter(|_| is_confirmed);
     Some(Crash { run: task.run, is_confirmed, is_sudden, lived, ..Crash::default() })
 }
 
-/// Whether a run may have ended unheard before its executor crashed: a list of machines has named the executor since
-/// it failed to answer, so it was cut off, and the run was due to end by now.
-fn may_have_ended(now: Now, task: &Task, step: &StepSpec, signs: LastSigns) -> bool {
-    let was_cut_off = signs.first_failure.is_some_and(|at| signs.last_listing > at);
-    was_cut_off && !step.is_long_running && task.ordered_at + step.estimate <= now
+/// Returns whether a run may have ended unreported before its executor crashed: the executor was listed after it had
+/// failed to answer, so it was partitioned, and the run was due to end by now.
+fn may_have_ended_unreported(now: Now, task: &Task, step: &StepSpec, signs: LastSigns) -> bool {
+    let was_partitioned = signs.first_failure.is_some_and(|at| signs.last_listing > at);
+    was_partitioned && !step.is_long_running && task.ordered_at + step.estimate <= now
 }
 
-/// How long a task had lived when its executor crashed; none if this owner hasn't ordered it.
-fn lived_between(now: Now, task: &Task, signs: LastSigns) -> Option<Lived> {
-    let least = survived(task, signs).filter(|_| task.ordered_at > Now::ZERO)?;
+/// Returns the bounds of a task's run time at the crash of its executor; none if this owner didn't order the run.
+fn run_time_bounds(now: Now, task: &Task, signs: LastSigns) -> Option<Lived> {
+    let least = run_time(task, signs).filter(|_| task.ordered_at > Now::ZERO)?;
     let most = signs.first_failure.unwrap_or(now).saturating_sub(task.ordered_at);
     Some(Lived { least_ms: least.as_millis() as u64, most_ms: most.as_millis() as u64 })
 }
 
 impl LastSigns {
-    /// Whether what the executor said of its runs holds until its crash: it had just answered when it first
-    /// failed to, and nobody has seen it alive since.
-    fn hold_until_end(&self, now: Now) -> bool {
+    /// Returns whether the executor's last report still held when it crashed: the executor answered shortly before
+    /// its first failure to answer, and hasn't been listed since.
+    fn is_current_until_crash(&self, now: Now) -> bool {
         let silent_from = self.first_failure.unwrap_or(now);
-        let lived_on = self.last_listing > silent_from + LIVED_ON;
-        let is_prompt =
-            now.saturating_sub(silent_from) <= KNOWN_FOR && self.unlisted_for <= LISTS_MISSED;
-        silent_from.saturating_sub(self.last_answer) <= KNOWN_FOR && is_prompt && !lived_on
+        let was_listed_later = self.last_listing > silent_from + LISTED_AFTER_SILENCE;
+        let is_noticed_in_time = now.saturating_sub(silent_from) <= MAX_REPORT_AGE
+            && self.unlisted_for <= MAX_LISTING_GAP;
+        silent_from.saturating_sub(self.last_answer) <= MAX_REPORT_AGE
+            && is_noticed_in_time
+            && !was_listed_later
     }
 }
--- a/crates/jackdawpier_fleet/src/fleet/crash_backoff.rs
+++ b/crates/jackdawpier_fleet/src/fleet/crash_backoff.rs
@@ -1,7 +1,7 @@
-//! Tasks that last and are held back for the crashes under them, each until it is tried again.
+//! Crash-loop back-off of long-running tasks.
 //!
-//! See `docs/design/lives.md`. They aren't startable meanwhile, so that no room is kept and no machine is fetched
-//! for them.
+//! See `docs/design/lives.md`. A task isn't startable during its back-off, so no room is reserved and no machine is
+//! moved for it.
 
 use std::time::Duration;
 
@@ -15,80 +15,85 @@
     spec::{RunNumber, TaskKey},
 };
 
-/// A task that is tried again after a pause, since executors crashed under it.
+/// The back-off of a task after executors crashed while they ran it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CrashBackoff {
     /// The task.
     pub task: TaskKey,
-    /// Number of its last start.
+    /// Number of its last run.
     pub run: RunNumber,
-    /// Executors that have crashed under it.
+    /// Number of crashes that count against the task.
     pub crashes: usize,
-    /// The pause; none if the task isn't started again.
-    pub lasts_for: Option<Duration>,
+    /// How long it lasts; none if the task isn't started again.
+    pub duration: Option<Duration>,
 }
 
-/// A task that is held back.
+/// A task in back-off.
 #[derive(Debug)]
-struct Held {
+struct BackedOffTask {
     task: TaskRef,
-    /// Where executors have accidents, it is so for less.
-    short_until: Now,
+    /// When the back-off may end early, if executors also crash without the task.
+    earliest_end: Now,
     until: Now,
 }
 
-/// The tasks that are held back.
+/// The tasks in back-off.
 #[derive(Debug, Default)]
 pub(super) struct CrashBackoffs {
-    tasks: Vec<Held>,
-    /// Pauses that have begun, for the log.
-    begun: Vec<CrashBackoff>,
+    tasks: Vec<BackedOffTask>,
+    /// Back-offs that have started, for the log.
+    started: Vec<CrashBackoff>,
 }
 
 impl Fleet {
-    /// Pauses that have begun since the last call.
+    /// Takes the back-offs that have started since the last call.
     pub fn take_crash_backoffs(&mut self) -> Vec<CrashBackoff> {
-        std::mem::take(&mut self.crash_backoffs.begun)
+        std::mem::take(&mut self.crash_backoffs.started)
     }
 
-    /// Keeps a task from starting for a while, or for good.
-    pub(super) fn back_off(&mut self, now: Now, task_ref: &TaskRef, lasts_for: Option<Duration>) {
+    /// Starts the back-off of a long-running task: for `duration`, or for good without one.
+    pub(super) fn back_off(&mut self, now: Now, task_ref: &TaskRef, duration: Option<Duration>) {
         let Some(job) = self.jobs.get(&task_ref.0) else { return };
         if !job.step(task_ref.1).is_long_running {
             return;
         }
         let task = &job.tasks[task_ref.1];
         let (key, run, crashes) = (job.key(task_ref.1), task.run, task.crashes().len());
-        self.crash_backoffs.begun.push(CrashBackoff { task: key, run, crashes, lasts_for });
-        if let Some(pause) = lasts_for {
-            let (short_until, until) = (now + pause.min(PAUSE_SUSPECT), now + pause);
-            self.crash_backoffs.tasks.push(Held { task: task_ref.clone(), short_until, until });
+        self.crash_backoffs.started.push(CrashBackoff { task: key, run, crashes, duration });
+        if let Some(delay) = duration {
+            let (earliest_end, until) = (now + delay.min(PAUSE_SUSPECT), now + delay);
+            self.crash_backoffs.tasks.push(BackedOffTask {
+                task: task_ref.clone(),
+                earliest_end,
+                until,
+            });
         }
     }
 
-    /// Holds back what an earlier owner had held back; how much of the pause is over isn't known.
+    /// Restarts the back-offs of an earlier owner's job in full: how much of them has passed isn't known.
     pub(super) fn restore_backoffs(&mut self, now: Now, id: &JobId) {
         let Some(job) = self.jobs.get(id).filter(|job| !job.is_over()) else { return };
-        let pause = |index: usize| match job.retry(index) {
-            Retry::After(pause) if job.tasks[index].phase == Phase::Waiting => Some((index, pause)),
+        let delay = |index: usize| match job.retry(index) {
+            Retry::After(delay) if job.tasks[index].phase == Phase::Waiting => Some((index, delay)),
             _ => None,
         };
-        let held: Vec<(usize, Duration)> = (0..job.tasks.len()).filter_map(pause).collect();
-        for (index, pause) in held {
-            self.back_off(now, &(id.clone(), index), Some(pause));
+        let backed_off: Vec<(usize, Duration)> = (0..job.tasks.len()).filter_map(delay).collect();
+        for (index, delay) in backed_off {
+            self.back_off(now, &(id.clone(), index), Some(delay));
         }
     }
 
-    /// Lets the tasks start whose pauses are over.
+    /// Makes the tasks startable whose back-off is over.
     pub(super) fn release_backed_off(&mut self, now: Now) {
-        let (due, rest): (Vec<Held>, Vec<Held>) =
-            std::mem::take(&mut self.crash_backoffs.tasks).into_iter().partition(|held| {
-                let is_short = now >= held.short_until;
-                now >= held.until
-                    || (is_short && self.has_unattributed_crashes_without(now, &held.task))
+        let (expired, remaining): (Vec<BackedOffTask>, Vec<BackedOffTask>) =
+            std::mem::take(&mut self.crash_backoffs.tasks).into_iter().partition(|backed_off| {
+                let may_end_early = now >= backed_off.earliest_end;
+                now >= backed_off.until
+                    || (may_end_early
+                        && self.has_unattributed_crashes_without(now, &backed_off.task))
             });
-        self.crash_backoffs.tasks = rest;
-        for Held { task: (id, index), .. } in due {
+        self.crash_backoffs.tasks = remaining;
+        for BackedOffTask { task: (id, index), .. } in expired {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             if !job.is_over() && !job.is_cancelled && job.tasks[index].phase == Phase::Waiting {
                 job.try_again(now, index);
--- a/crates/jackdawpier_fleet/src/fleet/defragmentation.rs
+++ b/crates/jackdawpier_fleet/src/fleet/defragmentation.rs
@@ -1,8 +1,9 @@
-//! Lasting work that makes way for work that else never finds room.
+//! Defragments the room that long-running tasks leave.
 //!
-//! It may be spread so that no executor has enough left for a task, or too few have for a gang, though there is room in all. Nothing that
-//! ends makes room then. If no machine can be had either, some of it moves beside the rest, each task as its step allows, and the
-//! executors are kept meanwhile for what waits.
+//! Long-running tasks may be spread so that no executor has enough room left for a waiting task, or too few have for its
+//! gang, though there is enough room in total, and no ending task will change that. If no machine is available either,
+//! some of the long-running tasks are relocated, each as its step allows, while the executors are reserved for the
+//! waiting task.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -23,30 +24,31 @@
     job::Phase,
 };
 
-/// Executors are kept for this long at most: some eight moves one after another.
-const KEPT_FOR: Duration = Duration::from_secs(15);
-/// Another try of the same service begins this long after one: what ends meanwhile may help, and moves cost lasting work.
-const TRY_AGAIN_AFTER: Duration = Duration::from_secs(10);
+/// Maximum time for which executors are reserved: about eight relocations in sequence.
+const MAX_DURATION: Duration = Duration::from_secs(15);
+/// Minimum time between two attempts for the same service. Tasks that end in between may free enough room, and each
+/// relocation interrupts a long-running task.
+const RETRY_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Executors that are cleared for one task, or its gang.
+/// Executors that are being defragmented for one task, or its gang.
 #[derive(Debug)]
 struct Defragmentation {
     task: TaskRef,
     relocations: Vec<Relocation>,
-    kept: BTreeSet<ExecutorId>,
+    reserved: BTreeSet<ExecutorId>,
     until: Now,
 }
 
-/// The clearings under way, at most one of a service.
+/// The defragmentations in progress, at most one per service.
 #[derive(Debug, Default)]
 pub(super) struct Defragmentations {
-    open: BTreeMap<ServiceName, Defragmentation>,
-    /// When the next one may begin.
-    not_before: BTreeMap<ServiceName, Now>,
+    active: BTreeMap<ServiceName, Defragmentation>,
+    /// When the next one of a service may start.
+    next_allowed_at: BTreeMap<ServiceName, Now>,
 }
 
 impl Fleet {
-    /// Begins to clear executors for what waits in a pool that lacks machines and can't get any.
+    /// Starts a defragmentation for a task that waits in a pool that lacks machines and can't get any.
     pub(super) fn begin_defragmentation(
         &mut self,
         now: Now,
@@ -54,9 +56,10 @@
         pools: &BTreeMap<PoolName, PoolView>,
     ) {
         let service = &shortage.pool;
-        let is_early = self.defragmentations.not_before.get(service).is_some_and(|at| now < *at);
-        let is_under_way = self.defragmentations.open.contains_key(service);
-        if is_early || is_under_way || !self.settings.policy.makes_room {
+        let is_too_early =
+            self.defragmentations.next_allowed_at.get(service).is_some_and(|at| now < *at);
+        let is_under_way = self.defragmentations.active.contains_key(service);
+        if is_too_early || is_under_way || !self.settings.policy.makes_room {
             return;
         }
         let Some(stuck) = pools.get(service).and_then(|pool| pool.stuck.as_ref()) else { return };
@@ -64,67 +67,68 @@
         if self.jobs[id].step(*index).required_label != shortage.label {
             return;
         }
-        self.defragmentations.not_before.insert(service.clone(), now + TRY_AGAIN_AFTER);
+        self.defragmentations.next_allowed_at.insert(service.clone(), now + RETRY_INTERVAL);
         let rounds = self.start_rounds(now);
         let Some(round) = rounds.get(service) else { return };
         let Some(plan) = self.plan_defragmentation(now, &stuck.task, &round.executors) else {
             return;
         };
-        let (task, until) = (stuck.task.clone(), now + KEPT_FOR);
+        let (task, until) = (stuck.task.clone(), now + MAX_DURATION);
         let defragmentation =
-            Defragmentation { task, relocations: plan.relocations, kept: plan.kept, until };
-        self.defragmentations.open.insert(service.clone(), defragmentation);
+            Defragmentation { task, relocations: plan.relocations, reserved: plan.reserved, until };
+        self.defragmentations.active.insert(service.clone(), defragmentation);
     }
 
-    /// Moves what has to move, places what waits for it, and keeps the executors from all else.
+    /// Advances the relocations, places the waiting tasks once they are complete, and keeps other tasks off the
+    /// reserved executors.
     pub(super) fn continue_defragmentations(
         &mut self,
         now: Now,
         rounds: &mut BTreeMap<ServiceName, PlacementRound>,
     ) {
-        for (service, defragmentation) in std::mem::take(&mut self.defragmentations.open) {
+        for (service, defragmentation) in std::mem::take(&mut self.defragmentations.active) {
             let Some(round) = rounds.get_mut(&service) else { continue };
-            if !self.is_of_use(now, &defragmentation) {
+            if !self.is_still_useful(now, &defragmentation) {
                 continue;
             }
             defragmentation
                 .relocations
                 .iter()
-                .for_each(|relocation| self.go_on_relocating(now, relocation, round));
+                .for_each(|relocation| self.continue_relocation(now, relocation, round));
             let is_placed = !self.is_relocating(&defragmentation)
                 && self.place_job(now, &defragmentation.task.0, round, 1)
-                && !self.waits(&defragmentation.task);
+                && !self.is_waiting(&defragmentation.task);
             if is_placed {
                 continue;
             }
-            round.executors.retain(|id| !defragmentation.kept.contains(id));
+            round.executors.retain(|id| !defragmentation.reserved.contains(id));
             round.has_held = true;
-            self.defragmentations.open.insert(service, defragmentation);
+            self.defragmentations.active.insert(service, defragmentation);
         }
     }
 
-    /// Whether the task still waits, and the executors may yet be free for it.
-    fn is_of_use(&self, now: Now, defragmentation: &Defragmentation) -> bool {
-        let may_be_free = |id: &ExecutorId| {
+    /// Returns whether the task still waits and all reserved executors stay available.
+    fn is_still_useful(&self, now: Now, defragmentation: &Defragmentation) -> bool {
+        let is_available = |id: &ExecutorId| {
             self.executors.get(id).is_some_and(Executor::is_usable)
-                && !self.machines.vacating().any(|leaving| leaving == id)
+                && !self.machines.vacating().any(|vacating| vacating == id)
         };
         now < defragmentation.until
-            && self.waits(&defragmentation.task)
-            && defragmentation.kept.iter().all(may_be_free)
+            && self.is_waiting(&defragmentation.task)
+            && defragmentation.reserved.iter().all(is_available)
     }
 
-    fn waits(&self, (id, index): &TaskRef) -> bool {
+    fn is_waiting(&self, (id, index): &TaskRef) -> bool {
         self.jobs.get(id).is_some_and(|job| job.startable.contains(index))
     }
 
-    /// Whether a task that was stopped has yet to start where it goes.
+    /// Returns whether a stopped task has yet to start on its new executor.
     fn is_relocating(&self, defragmentation: &Defragmentation) -> bool {
-        defragmentation.relocations.iter().any(|relocation| self.waits(&relocation.task))
+        defragmentation.relocations.iter().any(|relocation| self.is_waiting(&relocation.task))
     }
 
-    /// Stops a task once its step can spare it and there is room where it goes, and starts it there.
-    fn go_on_relocating(&mut self, now: Now, relocation: &Relocation, round: &PlacementRound) {
+    /// Stops a task once its step allows it and its new executor has room, then starts it there.
+    fn continue_relocation(&mut self, now: Now, relocation: &Relocation, round: &PlacementRound) {
         let Relocation { task, from, to } = relocation;
         let Some(job) = self.jobs.get(&task.0) else { return };
         let Some(target) = self.executors.get(to) else { return };
@@ -133,16 +137,17 @@
         }
         let phase = &job.tasks[task.1].phase;
         if matches!(phase, Phase::Running { executor, .. } if executor == from) {
-            if self.can_spare(now, task, from) {
+            if self.can_stop(now, task, from) {
                 self.stop_task(now, task, StopReason::MakesRoom);
             }
-        } else if self.waits(task) && !self.is_suspect(job, task.1) {
+        } else if self.is_waiting(task) && !self.is_suspect(job, task.1) {
             self.start_relocated(task, to);
         }
     }
 
-    /// Whether a task may leave its executor now. A step that says nothing of what it may miss gives them one by one.
-    fn can_spare(&self, now: Now, (id, index): &TaskRef, from: &ExecutorId) -> bool {
+    /// Returns whether a task may be stopped for its relocation now. Without a `may_miss` a step's tasks are relocated
+    /// one at a time.
+    fn can_stop(&self, now: Now, (id, index): &TaskRef, from: &ExecutorId) -> bool {
         let job = &self.jobs[id];
         let may_miss = job.step(*index).may_miss.max(1);
         let is_watching = self.executors.get(from).is_some_and(|one| one.is_watching(now));
@@ -154,7 +159,7 @@
             return;
         }
         self.assign(id, *index, to.clone());
-        let job = self.jobs.get_mut(id).expect("it was read above");
+        let job = self.jobs.get_mut(id).expect("the caller has read the job");
         job.startable.retain(|one| one != index);
         self.mark_changed(id);
     }
--- a/crates/jackdawpier_fleet/src/fleet/defragmentation_plan.rs
+++ b/crates/jackdawpier_fleet/src/fleet/defragmentation_plan.rs
@@ -1,6 +1,6 @@
-//! Which lasting tasks have to run elsewhere so that a task, or its gang, finds room.
+//! Plans which long-running tasks to relocate so that a task, or its gang, finds room.
 //!
-//! All moves are known before the first: half of them would cost the moved work and help nobody.
+//! The whole plan is made before the first relocation: a partial one would interrupt tasks without freeing enough room.
 
 use std::{cmp::Reverse, collections::BTreeSet};
 
@@ -17,12 +17,12 @@
     spec::Resources,
 };
 
-/// Tasks that move for one: more take longer than work waits that something ends for.
-const MOST_RELOCATIONS: usize = 8;
-/// Executors that are compared for the next moves, those first that lose least.
-const MOST_COMPARED: usize = 16;
+/// Maximum number of relocations for one waiting task. More would take longer than waiting for other tasks to end.
+const MAX_RELOCATIONS: usize = 8;
+/// Maximum number of executors compared for the next relocations, those with the fewest tasks to move first.
+const MAX_CANDIDATES: usize = 16;
 
-/// A lasting task that is to run elsewhere.
+/// The relocation of a long-running task.
 #[derive(Debug, Clone)]
 pub(super) struct Relocation {
     pub(super) task: TaskRef,
@@ -30,46 +30,46 @@
     pub(super) to: ExecutorId,
 }
 
-/// The moves that make room, and the executors that have it then.
+/// The relocations that make room, and the executors to reserve meanwhile.
 #[derive(Debug)]
 pub(super) struct DefragmentationPlan {
     pub(super) relocations: Vec<Relocation>,
-    pub(super) kept: BTreeSet<ExecutorId>,
+    pub(super) reserved: BTreeSet<ExecutorId>,
 }
 
-/// A task with the room that it takes.
+/// A task with the resources that it occupies.
 type SizedTask = (Resources, TaskRef);
 
-/// An executor that may be cleared, beside what will have ended or moved.
+/// An executor that may be defragmented, as it will be once its short tasks have ended and the planned relocations are done.
 #[derive(Debug)]
 struct Candidate {
     id: ExecutorId,
-    /// Room beside its lasting work.
+    /// Room beside its long-running tasks.
     room: Resources,
-    /// Tasks of those that wait which it may run at most.
-    most: usize,
-    /// Lasting tasks that may move, the smallest first.
+    /// Maximum number of the waiting tasks that it may run.
+    max_tasks: usize,
+    /// Long-running tasks that may be relocated, smallest first.
     movable: Vec<SizedTask>,
 }
 
 impl Candidate {
-    fn fits(&self, need: &Resources) -> usize {
-        self.room.count(need).min(self.most)
+    fn slots(&self, need: &Resources) -> usize {
+        self.room.count(need).min(self.max_tasks)
     }
 
-    /// The tasks without which one more of those that wait would fit; none if that never is so.
-    fn in_the_way(&self, need: &Resources) -> Option<Vec<SizedTask>> {
-        let wanted = self.fits(need).saturating_add(1);
-        if wanted > self.most {
+    /// Returns the tasks to relocate so that one more waiting task fits; none if no relocation achieves that.
+    fn blocking_tasks(&self, need: &Resources) -> Option<Vec<SizedTask>> {
+        let wanted = self.slots(need).saturating_add(1);
+        if wanted > self.max_tasks {
             return None;
         }
         let is_enough = |room: &Resources| room.count(need) >= wanted;
-        let alone = self.movable.iter().find(|(size, _)| {
+        let single = self.movable.iter().find(|(size, _)| {
             let mut room = self.room;
             room.add(size);
             is_enough(&room)
         });
-        if let Some(task) = alone {
+        if let Some(task) = single {
             return Some(vec![task.clone()]);
         }
         let mut room = self.room;
@@ -86,7 +86,8 @@
 }
 
 impl Fleet {
-    /// The fewest moves found that make room for a task, or its gang, on these executors.
+    /// Plans the relocations that make room for a task, or its gang, on these executors; none if none are needed or
+    /// too many would be.
     pub(super) fn plan_defragmentation(
         &self,
         now: Now,
@@ -99,19 +100,19 @@
         let mut candidates: Vec<Candidate> =
             executors.iter().filter_map(|one| self.candidate(now, one, job, *index)).collect();
         let mut relocations = Vec::new();
-        let fits = |candidates: &[Candidate]| {
-            candidates.iter().map(|one| one.fits(&need)).fold(0, usize::saturating_add)
+        let slots = |candidates: &[Candidate]| {
+            candidates.iter().map(|one| one.slots(&need)).fold(0, usize::saturating_add)
         };
-        while fits(&candidates) < wanted {
+        while slots(&candidates) < wanted {
             let next = self.next_relocations(&candidates, &need, &relocations)?;
             next.iter().for_each(|relocation| apply(relocation, &mut candidates));
             relocations.extend(next);
-            if relocations.len() > MOST_RELOCATIONS {
+            if relocations.len() > MAX_RELOCATIONS {
                 return None;
             }
         }
-        let kept = kept(&candidates, &relocations, &need, wanted);
-        (!relocations.is_empty()).then_some(DefragmentationPlan { relocations, kept })
+        let reserved = reserved_executors(&candidates, &relocations, &need, wanted);
+        (!relocations.is_empty()).then_some(DefragmentationPlan { relocations, reserved })
     }
 
     fn candidate(
@@ -132,12 +133,13 @@
         Some(Candidate {
             id: id.clone(),
             room: self.room_beside_long_running(executor),
-            most: count_fitting(executor, job, index, &Resources::MAX),
+            max_tasks: count_fitting(executor, job, index, &Resources::MAX),
             movable,
         })
     }
 
-    /// Whether a lasting task can simply run elsewhere: by itself, without a suspicion, near no data.
+    /// Returns whether a task may be relocated: it is a running long-running task without a gang, data rack, placement
+    /// advice or suspicion.
     fn may_relocate(&self, (id, index): &TaskRef) -> bool {
         let Some(job) = self.jobs.get(id).filter(|job| !job.is_over()) else { return false };
         let step = job.step(*index);
@@ -150,84 +152,81 @@
             && matches!(job.tasks[*index].phase, Phase::Running { .. })
     }
 
-    /// The moves off one executor that bring most room, by the fewest tasks.
+    /// Returns the relocations from one executor that make room for most waiting tasks, then those of the fewest tasks.
     fn next_relocations(
         &self,
         candidates: &[Candidate],
         need: &Resources,
-        before: &[Relocation],
+        planned: &[Relocation],
     ) -> Option<Vec<Relocation>> {
         let blocked = candidates
             .iter()
-            .filter_map(|candidate| Some((candidate, candidate.in_the_way(need)?)));
+            .filter_map(|candidate| Some((candidate, candidate.blocking_tasks(need)?)));
         let mut blocked: Vec<(&Candidate, Vec<SizedTask>)> = blocked.collect();
         blocked.sort_by_key(|(_, tasks)| {
             (tasks.len(), tasks.iter().map(|(size, _)| size.cpu_millicores).sum::<u64>())
         });
-        let compared = blocked.into_iter().take(MOST_COMPARED);
+        let compared = blocked.into_iter().take(MAX_CANDIDATES);
         let found = compared.filter_map(|(from, tasks)| {
-            let (relocations, lost) = self.move_off(from, &tasks, candidates, need, before)?;
+            let (relocations, lost_slots) =
+                self.plan_moves(from, &tasks, candidates, need, planned)?;
             let mut room = from.room;
             tasks.iter().for_each(|(size, _)| room.add(size));
-            let won = room.count(need).min(from.most) - from.fits(need);
-            (won > lost).then(|| (won - lost, Reverse(tasks.len()), relocations))
+            let gained = room.count(need).min(from.max_tasks) - from.slots(need);
+            (gained > lost_slots).then(|| (gained - lost_slots, Reverse(tasks.len()), relocations))
         });
-        let best = found.max_by_key(|(won, count, _)| (*won, *count));
+        let best = found.max_by_key(|(gained, count, _)| (*gained, *count));
         best.map(|(.., relocations)| relocations)
     }
 
-    /// Where tasks go from an executor, and how many of those that wait find no room there any more.
-    fn move_off(
+    /// Chooses the new executors of some tasks. Returns the relocations, and how many waiting tasks no longer fit on
+    /// those executors.
+    fn plan_moves(
         &self,
         from: &Candidate,
         tasks: &[SizedTask],
         candidates: &[Candidate],
         need: &Resources,
-        before: &[Relocation],
+        planned: &[Relocation],
     ) -> Option<(Vec<Relocation>, usize)> {
         let mut rooms: Vec<Resources> = candidates.iter().map(|candidate| candidate.room).collect();
-        let mut relocations = before.to_vec();
-        let mut lost = 0;
+        let mut relocations = planned.to_vec();
+        let mut lost_slots = 0;
         for (size, task) in tasks.iter().rev() {
             let choices = candidates.iter().enumerate().filter_map(|(place, candidate)| {
-                let can_stand = candidate.id != from.id
+                let can_host = candidate.id != from.id
                     && size.fits(&rooms[place])
-                    && self.may_stand(task, &candidate.id, &relocations);
+                    && self.can_host(task, &candidate.id, &relocations);
                 let left = rooms[place].minus(size);
-                let fits = |room: &Resources| room.count(need).min(candidate.most);
-                let loses = fits(&rooms[place]) - fits(&left);
-                can_stand.then_some((loses, left.cpu_millicores, place))
+                let slots = |room: &Resources| room.count(need).min(candidate.max_tasks);
+                let lost = slots(&rooms[place]) - slots(&left);
+                can_host.then_some((lost, left.cpu_millicores, place))
             });
-            let (loses, _, place) = choices.min()?;
+            let (lost, _, place) = choices.min()?;
             rooms[place].subtract(size);
-            lost += loses;
+            lost_slots += lost;
             let (from, to) = (from.id.clone(), candidates[place].id.clone());
             relocations.push(Relocation { task: task.clone(), from, to });
         }
-        Some((relocations.split_off(before.len()), lost))
+        Some((relocations.split_off(planned.len()), lost_slots))
     }
 
-    /// Whether a task may run on an executor once others have moved there.
-    fn may_stand(
-        &self,
-        (id, index): &TaskRef,
-        to: &ExecutorId,
-        relocations: &[Relocation],
-    ) -> bool {
+    /// Returns whether a task may run on an executor in addition to the tasks that are relocated there.
+    fn can_host(&self, (id, index): &TaskRef, to: &ExecutorId, relocations: &[Relocation]) -> bool {
         let Some(executor) = self.executors.get(to) else { return false };
         let job = &self.jobs[id];
         let slot = job.slot(*index);
-        let is_alike = |relocation: &&Relocation| {
+        let is_same_step = |relocation: &&Relocation| {
             let (other, place) = &relocation.task;
             relocation.to == *to && other == id && job.slot(*place) == slot
         };
-        let coming = relocations.iter().filter(is_alike).count() as u32;
-        let most = job.step(*index).max_per_executor;
+        let incoming = relocations.iter().filter(is_same_step).count() as u32;
+        let max_tasks = job.step(*index).max_per_executor;
         is_eligible(executor, job, *index)
-            && (most == 0 || step_tasks_on(executor, job, *index) + coming < most)
+            && (max_tasks == 0 || step_tasks_on(executor, job, *index) + incoming < max_tasks)
     }
 
-    /// Whether an executor has room for a task that is to move there now.
+    /// Returns whether an executor has room for a relocated task now.
     pub(super) fn has_room_for_relocated(&self, now: Now, task: &TaskRef, to: &Executor) -> bool {
         let job = &self.jobs[&task.0];
         !to.is_watching(now) && super::placement::has_room_for(to, job, task.1, None)
@@ -248,23 +247,23 @@
     }
 }
 
-/// The executors on which those that wait will fit, and all that a move touches.
-fn kept(
+/// Returns the executors that a relocation involves, and further ones until all waiting tasks fit.
+fn reserved_executors(
     candidates: &[Candidate],
     relocations: &[Relocation],
     need: &Resources,
     wanted: usize,
 ) -> BTreeSet<ExecutorId> {
-    let mut kept: BTreeSet<ExecutorId> = relocations
+    let mut reserved: BTreeSet<ExecutorId> = relocations
         .iter()
         .flat_map(|relocation| [relocation.from.clone(), relocation.to.clone()])
         .collect();
-    let is_touched = |candidate: &&Candidate| kept.contains(&candidate.id);
-    let mut found: usize = candidates.iter().filter(is_touched).map(|one| one.fits(need)).sum();
+    let is_touched = |candidate: &&Candidate| reserved.contains(&candidate.id);
+    let mut found: usize = candidates.iter().filter(is_touched).map(|one| one.slots(need)).sum();
     for candidate in candidates {
-        if found < wanted && candidate.fits(need) > 0 && kept.insert(candidate.id.clone()) {
-            found += candidate.fits(need);
+        if found < wanted && candidate.slots(need) > 0 && reserved.insert(candidate.id.clone()) {
+            found += candidate.slots(need);
         }
     }
-    kept
+    reserved
 }
--- a/crates/jackdawpier_fleet/src/fleet/recent_crashes.rs
+++ b/crates/jackdawpier_fleet/src/fleet/recent_crashes.rs
@@ -1,7 +1,8 @@
-//! Who was on an executor when it crashed, so that the others are cleared once one of them turns out to be
-//! the cause.
+//! Tracks which runs were on an executor when it crashed, so that the others can be cleared once one of them
+//! turns out to be the cause.
 //!
-//! See `docs/design/lives.md`. What an earlier owner saw isn't known; the crashes that it noted stay.
+//! See `docs/design/lives.md`. A new owner starts without this history, but inherits the crashes in the job
+//! records.
 
 use std::collections::VecDeque;
 
@@ -10,66 +11,66 @@
 use super::Fleet;
 use crate::{executor::TaskRef, spec::RunNumber};
 
-/// Crashes that are remembered: a suspect is judged within seconds, in which some dozens of executors crash.
-const REMEMBERED: usize = 256;
-/// A run that may have been why an executor crashed.
-type Present = (TaskRef, RunNumber);
+/// Maximum number of crashes kept: a suspect is judged within seconds, in which a few dozen executors crash.
+const MAX_CRASHES: usize = 256;
+/// A run that may have caused a crash.
+type RunRef = (TaskRef, RunNumber);
 
 /// A crash of an executor.
 #[derive(Debug)]
 pub(super) struct ExecutorCrash {
     pub(super) at: Now,
     pub(super) service: Option<ServiceName>,
-    /// A task was watched there, which is the likely cause.
+    /// A task ran in isolation there, which is the likely cause.
     pub(super) is_watched: bool,
-    /// Nothing had begun there lately, so it hardly was any task.
+    /// No task had started there recently, so a task is an unlikely cause.
     pub(super) is_spontaneous: bool,
-    /// The runs that were there.
-    pub(super) present: Vec<Present>,
+    /// The runs on the executor.
+    pub(super) runs: Vec<RunRef>,
 }
 
 impl ExecutorCrash {
     pub(super) fn involves(&self, task: &TaskRef) -> bool {
-        self.present.iter().any(|(one, _)| one == task)
+        self.runs.iter().any(|(one, _)| one == task)
     }
 }
 
-/// The last crashes that aren't explained yet.
+/// The most recent crashes without a known cause, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct RecentCrashes(VecDeque<ExecutorCrash>);
 
 impl RecentCrashes {
     pub(super) fn note(&mut self, crash: ExecutorCrash) {
-        if self.0.len() == REMEMBERED {
+        if self.0.len() == MAX_CRASHES {
             self.0.pop_front();
         }
         self.0.push_back(crash);
     }
 
-    /// Runs that were there when a task's executors crashed, other than its own.
-    fn beside(&mut self, cause: &TaskRef) -> Vec<Present> {
+    /// Removes the crashes that a task was present at, and returns the other runs that were present.
+    fn take_co_located_runs(&mut self, cause: &TaskRef) -> Vec<RunRef> {
         let (of_cause, others): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.0).into_iter().partition(|crash| crash.involves(cause));
         self.0 = others.into();
-        let mut beside: Vec<Present> =
-            of_cause.into_iter().flat_map(|crash| crash.present).collect();
-        beside.retain(|(task, _)| task != cause);
-        beside
+        let mut co_located: Vec<RunRef> =
+            of_cause.into_iter().flat_map(|crash| crash.runs).collect();
+        co_located.retain(|(task, _)| task != cause);
+        co_located
     }
 
-    /// Crashes that may be accidents, the last one first.
+    /// Returns the crashes with no isolated task, newest first. They may have had no task as their cause.
     pub(super) fn not_isolated(&self) -> impl Iterator<Item = &ExecutorCrash> {
         self.0.iter().rev().filter(|crash| !crash.is_watched)
     }
 }
 
 impl Fleet {
-    /// Clears all others that were there of the crashes that a task has caused.
+    /// Clears all other tasks of the crashes that a task has caused.
     pub(super) fn clear_co_located_crashes(&mut self, cause: &TaskRef) {
         if !self.settings.policy.explains_crashes {
             return;
         }
-        for (task, run) in self.recent_crashes.beside(cause) {
+        for (task, run) in self.recent_crashes.take_co_located_runs(cause) {
             let job = self.jobs.get_mut(&task.0).filter(|job| !job.is_over());
             if job.is_some_and(|job| job.tasks[task.1].explain_crash(run)) {
                 self.mark_changed(&task.0);
--- a/crates/jackdawpier_fleet/tests/histories.rs
+++ b/crates/jackdawpier_fleet/tests/histories.rs
@@ -447,7 +447,7 @@
     let gaps_ms: Vec<u128> = gaps.map(|(_, gap)| gap.as_millis()).collect();
     let pauses = world.lasting.pauses.iter().filter(|pause| !world.crashes.is_cause(&pause.task));
     let pauses_s: Vec<Option<u64>> =
-        pauses.map(|pause| pause.lasts_for.map(|time| time.as_secs())).collect();
+        pauses.map(|pause| pause.duration.map(|time| time.as_secs())).collect();
     let (crashed, lasting) = (world.crashes.executors, lasting.len());
     println!(
         "seed {seed}: crashed {crashed}, given up {innocents}, lasting jobs {lasting}, away {gaps_ms:?} ms, \
