--- a/crates/jackdawpier_jobs/src/failures.rs
+++ b/crates/jackdawpier_jobs/src/failures.rs
@@ -1,8 +1,8 @@
-//! Tells jobs that can never run from workers that fail everything.
+//! Attributes failures to jobs or to workers.
 //!
-//! A failure counts against both; whatever succeeds elsewhere clears its side. A worker that
-//! fails several different jobs in a row is left out for a while, and its failures no longer
-//! count against jobs. See `docs/design/blame.md`.
+//! A failure counts against both the job and the worker; a later success of either clears its
+//! count. A worker that fails several different jobs in a row is quarantined, and its failures no
+//! longer count against those jobs. See `docs/design/blame.md`.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -14,54 +14,56 @@
     ids::{JobId, RackName, WorkerId},
 };
 
-/// Different jobs failed in a row after which a worker is left out.
-const QUARANTINE_AFTER: usize = 3;
-/// Healthy workers on which a job must fail before it is parked.
-const PARK_AFTER: usize = 3;
-/// Racks that these workers must stand in at least.
-const PARK_RACKS: usize = 2;
-/// Workers that a job may lose in all before it is parked, also beside likelier causes.
-const PARK_AFTER_LOSSES: usize = 12;
-/// Time for which a worker is left out; doubles each time.
-const FIRST_QUARANTINE: Duration = Duration::from_secs(30);
+/// Number of different jobs failed in a row after which a worker is quarantined.
+const QUARANTINE_AFTER_JOBS: usize = 3;
+/// Number of healthy workers that a job must fail on or lose before it is parked, not counting
+/// losses with a likelier cause.
+const PARK_AFTER_WORKERS: usize = 3;
+/// Minimum number of racks that these workers must span.
+const PARK_MIN_RACKS: usize = 2;
+/// Number of healthy workers that a job must fail on or lose before it is parked, including
+/// losses with a likelier cause.
+const PARK_AFTER_WORKERS_ANY_CAUSE: usize = 12;
+/// Duration of a worker's first quarantine; doubles with each further one.
+const INITIAL_QUARANTINE: Duration = Duration::from_secs(30);
 const MAX_QUARANTINE: Duration = Duration::from_secs(3600);
 
 #[derive(Debug, Default)]
 struct WorkerRecord {
-    failed_in_a_row: BTreeSet<JobId>,
+    consecutive_failed_jobs: BTreeSet<JobId>,
     quarantined_until: Option<Now>,
-    quarantine: Option<Duration>,
+    last_quarantine: Option<Duration>,
 }
 
-/// A worker on which a job has failed, or which fell silent while it ran there.
+/// Worker on which a job failed, or which stopped responding while it ran the job.
 #[derive(Debug)]
-struct Place {
+struct FailedPlacement {
     worker: WorkerId,
     rack: RackName,
-    /// Another job had just begun there, which is the likelier cause.
-    is_shared: bool,
+    /// Whether another job had just started on the worker, which is the likelier cause of its loss.
+    has_likelier_cause: bool,
 }
 
-/// Failures of jobs and workers.
+/// Tracks failures of jobs and workers.
 #[derive(Debug, Default)]
 pub struct FailureTracker {
     workers: HashMap<WorkerId, WorkerRecord>,
-    jobs: HashMap<JobId, Vec<Place>>,
+    placements_by_job: HashMap<JobId, Vec<FailedPlacement>>,
 }
 
-/// What follows from a failure.
+/// Consequence of a failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// Try elsewhere.
+    /// Retry the job on another worker.
     RetryElsewhere,
-    /// The worker fails everything and is left out; try elsewhere.
+    /// The worker is quarantined; retry the job on another one.
     WorkerQuarantined,
-    /// The job can never run.
+    /// The job fails on every worker and has to be parked.
     JobNeverRuns,
 }
 
 impl FailureTracker {
-    /// Whether `worker` is left out at the moment.
+    /// Whether `worker` is quarantined.
     pub fn is_quarantined(&self, now: Now, worker: &str) -> bool {
         self.workers
             .get(worker)
@@ -69,51 +71,67 @@
             .is_some_and(|until| now < until)
     }
 
-    /// Workers left out at the moment.
+    /// Returns the number of quarantined workers.
     pub fn quarantined_count(&self, now: Now) -> usize {
         self.workers.keys().filter(|worker| self.is_quarantined(now, worker)).count()
     }
 
-    /// Workers on which `job` has failed, or which it lost; it is not placed there again while others are free.
+    /// Returns the workers on which `job` failed or which it lost. It is placed there again only if
+    /// no other worker has room.
     pub fn failed_workers(&self, job: &str) -> impl Iterator<Item = &WorkerId> {
-        self.jobs.get(job).into_iter().flatten().map(|place| &place.worker)
+        self.placements_by_job.get(job).into_iter().flatten().map(|placement| &placement.worker)
     }
 
-    /// Notes that a job ran to its end.
+    /// Records a successful run and clears the failures of `job` and `worker`.
     pub fn record_success(&mut self, job: &str, worker: &WorkerId) {
-        self.jobs.remove(job);
+        self.placements_by_job.remove(job);
         self.workers.remove(worker);
     }
 
-    /// Forgets a job that is over.
+    /// Clears the failures of a job.
     pub fn forget_job(&mut self, job: &str) {
-        self.jobs.remove(job);
+        self.placements_by_job.remove(job);
     }
 
-    /// Notes that a worker fell silent while it ran a job, which may be why: one that crashes reports
-    /// nothing. It doesn't count against the worker, which others may have taken along; nor, but for a bound
-    /// on all losses, against a job that had been there for longer than one that `is_shared` tells of.
+    /// Records that a worker stopped responding while it ran `job`. The job may be the cause, since a
+    /// crashed worker reports nothing. The loss doesn't count against the worker, because another job
+    /// may have crashed it. With `has_likelier_cause`, i.e. if another job had just started there, it
+    /// counts against `job` only towards `PARK_AFTER_WORKERS_ANY_CAUSE`.
     pub fn record_worker_loss(
         &mut self,
         now: Now,
         job: &JobId,
         worker: &WorkerId,
         rack: &RackName,
-        is_shared: bool,
+        has_likelier_cause: bool,
     ) -> Verdict {
-        self.note_place(job, worker, rack, is_shared);
-        if self.never_runs(now, job) { Verdict::JobNeverRuns } else { Verdict::RetryElsewhere }
+        self.record_placement(job, worker, rack, has_likelier_cause);
+        if self.reaches_failure_limit(now, job) {
+            Verdict::JobNeverRuns
+        } else {
+            Verdict::RetryElsewhere
+        }
     }
 
-    fn note_place(&mut self, job: &JobId, worker: &WorkerId, rack: &RackName, is_shared: bool) {
-        let places = self.jobs.entry(job.clone()).or_default();
-        match places.iter_mut().find(|place| place.worker == *worker) {
-            Some(place) => place.is_shared &= is_shared,
-            None => places.push(Place { worker: worker.clone(), rack: rack.clone(), is_shared }),
+    fn record_placement(
+        &mut self,
+        job: &JobId,
+        worker: &WorkerId,
+        rack: &RackName,
+        has_likelier_cause: bool,
+    ) {
+        let placements = self.placements_by_job.entry(job.clone()).or_default();
+        match placements.iter_mut().find(|placement| placement.worker == *worker) {
+            Some(placement) => placement.has_likelier_cause &= has_likelier_cause,
+            None => placements.push(FailedPlacement {
+                worker: worker.clone(),
+                rack: rack.clone(),
+                has_likelier_cause,
+            }),
         }
     }
 
-    /// Notes that a job failed on a worker.
+    /// Records that `job` failed on `worker`.
     pub fn record_failure(
         &mut self,
         now: Now,
@@ -121,41 +139,47 @@
         worker: &WorkerId,
         rack: &RackName,
     ) -> Verdict {
-        self.note_place(job, worker, rack, false);
+        self.record_placement(job, worker, rack, false);
         let record = self.workers.entry(worker.clone()).or_default();
-        record.failed_in_a_row.insert(job.clone());
-        if record.failed_in_a_row.len() >= QUARANTINE_AFTER {
+        record.consecutive_failed_jobs.insert(job.clone());
+        if record.consecutive_failed_jobs.len() >= QUARANTINE_AFTER_JOBS {
             self.quarantine(now, worker);
             return Verdict::WorkerQuarantined;
         }
-        if self.never_runs(now, job) { Verdict::JobNeverRuns } else { Verdict::RetryElsewhere }
+        if self.reaches_failure_limit(now, job) {
+            Verdict::JobNeverRuns
+        } else {
+            Verdict::RetryElsewhere
+        }
     }
 
     fn quarantine(&mut self, now: Now, worker: &WorkerId) {
         let record = self.workers.entry(worker.clone()).or_default();
-        let time =
-            record.quarantine.map_or(FIRST_QUARANTINE, |time| (time * 2).min(MAX_QUARANTINE));
-        record.quarantine = Some(time);
-        record.quarantined_until = Some(now + time);
-        let accused = std::mem::take(&mut record.failed_in_a_row);
-        for job in accused {
-            if let Some(places) = self.jobs.get_mut(&job) {
-                places.retain(|place| place.worker != *worker);
+        let duration = record
+            .last_quarantine
+            .map_or(INITIAL_QUARANTINE, |last| (last * 2).min(MAX_QUARANTINE));
+        record.last_quarantine = Some(duration);
+        record.quarantined_until = Some(now + duration);
+        let failed_jobs = std::mem::take(&mut record.consecutive_failed_jobs);
+        for job in failed_jobs {
+            if let Some(placements) = self.placements_by_job.get_mut(&job) {
+                placements.retain(|placement| placement.worker != *worker);
             }
         }
     }
 
-    fn never_runs(&self, now: Now, job: &JobId) -> bool {
-        let healthy: Vec<&Place> = self
-            .jobs
+    fn reaches_failure_limit(&self, now: Now, job: &JobId) -> bool {
+        let healthy: Vec<&FailedPlacement> = self
+            .placements_by_job
             .get(job)
             .into_iter()
             .flatten()
-            .filter(|place| !self.is_quarantined(now, &place.worker))
+            .filter(|placement| !self.is_quarantined(now, &placement.worker))
             .collect();
-        let own = || healthy.iter().filter(|place| !place.is_shared);
-        let racks: BTreeSet<&RackName> = own().map(|place| &place.rack).collect();
-        let fails_everywhere = own().count() >= PARK_AFTER && racks.len() >= PARK_RACKS;
-        fails_everywhere || healthy.len() >= PARK_AFTER_LOSSES
+        let attributed = || healthy.iter().filter(|placement| !placement.has_likelier_cause);
+        let racks: BTreeSet<&RackName> = attributed().map(|placement| &placement.rack).collect();
+        let reaches_attributed_limit =
+            attributed().count() >= PARK_AFTER_WORKERS && racks.len() >= PARK_MIN_RACKS;
+        reaches_attributed_limit || healthy.len() >= PARK_AFTER_WORKERS_ANY_CAUSE
     }
 }
--- a/crates/jackdawpier_jobs/src/job.rs
+++ b/crates/jackdawpier_jobs/src/job.rs
@@ -1,4 +1,4 @@
-//! A job as stored: its whole state in one value, so that the last one written is enough.
+//! Stored form of a job. Each record holds the complete state, so the last one written suffices.
 
 use jackdawpier_kernel::{
     ids::{ClassName, CustomerName, JobId, WorkerId},
@@ -6,69 +6,70 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// One durable job.
+/// Durable job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Job {
-    /// Identity.
+    /// Unique id.
     pub id: JobId,
-    /// Class.
+    /// Class that the job belongs to.
     pub class: ClassName,
-    /// Customer.
+    /// Customer that submitted the job.
     pub customer: CustomerName,
-    /// Whether running it twice does no harm.
+    /// Whether the job can safely run more than once.
     pub is_idempotent: bool,
-    /// Declared size, which may be far off.
+    /// Declared size, which can differ widely from the real usage.
     pub declared: TaskResources,
-    /// What to do, passed on to the worker.
+    /// Payload passed to the worker.
     pub payload: String,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub attempts: u32,
-    /// How it stands.
+    /// Current state.
     pub state: JobState,
 }
 
-/// States of a job.
+/// State of a job.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "state")]
 pub enum JobState {
-    /// It waits for a worker.
+    /// Waiting for a worker.
     Queued,
-    /// The attempt counted in the job may have been started at this worker.
+    /// Assigned to a worker, on which attempt number `attempts` may have been started.
     Claimed {
-        /// The worker.
+        /// Assigned worker.
         worker: WorkerId,
     },
-    /// It ran to its end.
+    /// Finished successfully.
     Done,
-    /// It needs an operator.
+    /// Waiting for an operator's decision.
     Parked {
-        /// Why.
+        /// Why the job was parked.
         reason: ParkReason,
     },
-    /// Its caller gave it up before it ran to its end.
+    /// Cancelled by its caller, or discarded by an operator, before it finished.
     Cancelled,
 }
 
-/// Why a job needs an operator.
+/// Why a job was parked for an operator.
 #[derive(Debug, derive_more::Display, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ParkReason {
-    /// It is not idempotent and may have run to its end.
+    /// The job is not idempotent and may have finished.
     #[display("its outcome is unknown and it is not idempotent")]
     OutcomeUnknown,
-    /// It is not idempotent and failed.
+    /// The job is not idempotent and failed.
     #[display("it failed and is not idempotent")]
     Failed,
-    /// It failed on several healthy workers in different racks, or these fell silent under it.
+    /// The job failed on several healthy workers in different racks, or they stopped responding
+    /// while they ran it.
     #[display("it failed on several healthy workers, or lost them")]
     NeverRuns,
-    /// No worker is large enough.
+    /// The job doesn't fit on any worker.
     #[display("no worker is large enough")]
     TooLarge,
 }
 
 impl JobState {
-    /// Whether nothing more will happen by itself.
+    /// Whether the job stays in this state until an operator or its retention changes that.
     pub fn is_final(&self) -> bool {
         matches!(self, Self::Done | Self::Parked { .. } | Self::Cancelled)
     }
--- a/crates/jackdawpier_jobs/src/lib.rs
+++ b/crates/jackdawpier_jobs/src/lib.rs
@@ -1,7 +1,7 @@
-//! Pure decisions on durable jobs: the queue, placement, learned sizes and blame.
+//! Scheduling of durable jobs: queue, placement, size estimates and failure attribution.
 //!
-//! A job is accepted only when durable, started only under a durable claim, and repeated only when
-//! that can do no harm. See `docs/design/jobs.md`.
+//! Does no I/O. A job is accepted only once it is durable, started only under a durable claim, and
+//! retried only if it is idempotent or cannot have run. See `docs/design/jobs.md`.
 
 pub mod failures;
 pub mod job;
--- a/crates/jackdawpier_jobs/src/queue.rs
+++ b/crates/jackdawpier_jobs/src/queue.rs
@@ -1,4 +1,4 @@
-//! The durable job queue of one shard: acceptance, claims, leases, ends and preemption.
+//! Durable job queue of one shard: acceptance, claims, task leases, completion and preemption.
 
 mod placement;
 mod tasks;
@@ -23,69 +23,74 @@
     workers::{WorkerInfo, Workers},
 };
 
-/// What the queue wants done.
+/// Action that the queue requests from its caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
-    /// Make this state durable and call [`JobQueue::on_write_queued`] with the number of the write.
+    /// Write this state durably and pass the number of the write to [`JobQueue::on_write_queued`].
     Write(Job),
-    /// The job is durable: tell its caller that it is accepted.
+    /// Answer the caller that the job is accepted; it is durable.
     Accepted(JobId),
-    /// Start this task and report by [`JobQueue::on_start_outcome`].
+    /// Start this task and pass the outcome to [`JobQueue::on_start_outcome`].
     Start {
         /// The worker.
         worker: WorkerId,
         /// The task.
         task: StartTask,
     },
-    /// Send this about a task.
+    /// Send this task command to the worker.
     Send {
         /// The worker.
         worker: WorkerId,
         /// The command.
         command: TaskCommand,
     },
-    /// The last state of this job may be forgotten.
+    /// Drop the state of this job, whose retention is over.
     Forget(JobId),
 }
 
-/// How the attempt to start a task ended.
+/// Outcome of the request to start a task.
 #[derive(Debug, Clone, PartialEq)]
 pub enum StartOutcome {
     /// The worker answered.
     Reported(TaskReport),
-    /// Nothing was sent.
+    /// The request was not sent.
     NotSent,
-    /// No answer came; the task may run.
+    /// The request was sent but not answered; the task may run.
     Unanswered,
 }
 
+/// Progress of a job, including writes that are not durable yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
+    /// The first write is in flight.
     Accepting,
     Queued,
+    /// The write of the claim is in flight.
     Claiming,
+    /// The request to start the task is in flight.
     Starting,
     Running,
-    Ending,
-    Over,
+    /// The write of a final state, or of a return to the queue, is in flight.
+    Finishing,
+    Finished,
 }
 
 #[derive(Debug)]
-struct Live {
+struct TrackedJob {
     job: Job,
     phase: Phase,
     ticket: Ticket,
-    /// Number of the write that carries the last state.
+    /// Number of the latest write of this job.
     last_write: u64,
     reserved: TaskResources,
     renewed_at: Now,
-    /// When its present run was ordered.
+    /// When the start of the current attempt was requested.
     started_at: Now,
     is_stopping: bool,
     is_cancelled: bool,
 }
 
-impl Live {
+impl TrackedJob {
     fn worker(&self) -> Option<&WorkerId> {
         match &self.job.state {
             JobState::Claimed { worker } => Some(worker),
@@ -104,7 +109,8 @@
 struct ClassQueue {
     finish_within: Duration,
     queue: FairQueue,
-    no_room_until: Now,
+    /// No placement is tried for this class before then.
+    retry_placement_at: Now,
     /// Tasks being stopped to make room for the head of this class.
     preempting: BTreeSet<JobId>,
 }
@@ -115,20 +121,22 @@
     task_lease: Duration,
     retention: Duration,
     classes: BTreeMap<ClassName, ClassQueue>,
-    jobs: HashMap<JobId, Live>,
+    jobs: HashMap<JobId, TrackedJob>,
     tickets: HashMap<Ticket, JobId>,
     next_ticket: Ticket,
+    /// Writes in flight, by number.
     uncommitted: VecDeque<(u64, JobId)>,
-    running: BTreeSet<JobId>,
+    /// Jobs that are claimed, from the claim until the end of the attempt.
+    claimed: BTreeSet<JobId>,
     by_worker: BTreeMap<WorkerId, BTreeSet<JobId>>,
-    expiring: BTreeSet<(Now, JobId)>,
+    retained_until: BTreeSet<(Now, JobId)>,
     workers: Workers,
     size_estimator: SizeEstimator,
     failures: FailureTracker,
 }
 
 impl JobQueue {
-    /// Returns an empty queue. Finished jobs are shown for `retention`.
+    /// Creates an empty queue that keeps finished jobs for `retention`.
     pub fn new(task_lease: Duration, retention: Duration) -> Self {
         Self {
             task_lease,
@@ -138,16 +146,16 @@
             tickets: HashMap::new(),
             next_ticket: 0,
             uncommitted: VecDeque::new(),
-            running: BTreeSet::new(),
+            claimed: BTreeSet::new(),
             by_worker: BTreeMap::new(),
-            expiring: BTreeSet::new(),
+            retained_until: BTreeSet::new(),
             workers: Workers::default(),
             size_estimator: SizeEstimator::default(),
             failures: FailureTracker::default(),
         }
     }
 
-    /// Takes over the classes of the shard.
+    /// Sets the parameters of the shard's classes.
     pub fn set_classes<'a>(&mut self, classes: impl IntoIterator<Item = &'a Class>) {
         for class in classes {
             self.ensure_class(&class.name).finish_within = class.finish_within();
@@ -158,7 +166,7 @@
         self.classes.entry(name.clone()).or_insert_with(|| ClassQueue {
             finish_within: Duration::from_secs(3600),
             queue: FairQueue::default(),
-            no_room_until: Now::ZERO,
+            retry_placement_at: Now::ZERO,
             preempting: BTreeSet::new(),
         })
     }
@@ -168,42 +176,42 @@
         self.workers.upsert(info);
     }
 
-    /// Forgets the workers that `keep` refuses. Their tasks wait out their leases.
+    /// Removes the workers for which `keep` returns false. Their tasks stay until their leases expire.
     pub fn retain_workers(&mut self, keep: impl Fn(&str) -> bool) {
-        let gone: Vec<WorkerId> = self.workers.ids().filter(|id| !keep(id)).cloned().collect();
-        gone.iter().for_each(|id| self.workers.remove(id));
+        let removed: Vec<WorkerId> = self.workers.ids().filter(|id| !keep(id)).cloned().collect();
+        removed.iter().for_each(|id| self.workers.remove(id));
     }
 
-    /// The workers, for reports.
+    /// Returns the workers, for reports.
     pub fn workers(&self) -> &Workers {
         &self.workers
     }
 
-    /// Workers that have tasks to ask about.
+    /// Returns the workers that have tasks.
     pub fn busy_workers(&self) -> impl Iterator<Item = &WorkerId> {
         self.by_worker.keys()
     }
 
-    /// Failures of jobs and workers, for reports.
+    /// Returns the failures of jobs and workers, for reports.
     pub fn failures(&self) -> &FailureTracker {
         &self.failures
     }
 
-    /// One job.
+    /// Returns a job by id.
     pub fn job(&self, id: &str) -> Option<&Job> {
-        self.jobs.get(id).map(|live| &live.job)
+        self.jobs.get(id).map(|tracked| &tracked.job)
     }
 
-    /// All jobs.
+    /// Returns all jobs.
     pub fn jobs(&self) -> impl Iterator<Item = &Job> {
-        self.jobs.values().map(|live| &live.job)
+        self.jobs.values().map(|tracked| &tracked.job)
     }
 
-    /// Takes a job in; it is accepted once durable. A job that is known already is not changed,
-    /// so that a repeated submission does no harm: it is accepted again if it is durable.
+    /// Submits a job, which is accepted once it is durable. Submissions are idempotent: a known job
+    /// isn't changed, and is accepted again if it is durable.
     pub fn submit(&mut self, job: Job) -> Vec<Command> {
-        if let Some(live) = self.jobs.get(&job.id) {
-            let is_durable = live.phase != Phase::Accepting;
+        if let Some(tracked) = self.jobs.get(&job.id) {
+            let is_durable = tracked.phase != Phase::Accepting;
             return is_durable.then_some(Command::Accepted(job.id)).into_iter().collect();
         }
         self.insert(job.clone(), Phase::Accepting);
@@ -214,7 +222,7 @@
         self.next_ticket += 1;
         let ticket = self.next_ticket;
         self.tickets.insert(ticket, job.id.clone());
-        let live = Live {
+        let tracked = TrackedJob {
             phase,
             ticket,
             last_write: 0,
@@ -225,12 +233,12 @@
             is_cancelled: false,
             job,
         };
-        self.jobs.insert(live.job.id.clone(), live);
+        self.jobs.insert(tracked.job.id.clone(), tracked);
         ticket
     }
 
-    /// Takes over a durable job from an earlier owner. A claimed one may be running: its worker
-    /// is asked, and its lease is waited out from now.
+    /// Restores a durable job of an earlier owner. A claimed job may be running, so its worker is
+    /// queried, and its task lease counts from `now`.
     pub fn recover(&mut self, now: Now, job: Job) {
         let id = job.id.clone();
         let (class, customer) = (job.class.clone(), job.customer.clone());
@@ -244,31 +252,31 @@
                 let reserved = self.size_estimator.estimate(&class, &customer, job.declared);
                 self.insert(job, Phase::Running);
                 self.workers.reserve(&worker, &reserved);
-                let live = self.jobs.get_mut(&id).expect("it was just inserted");
-                live.renewed_at = now;
-                live.reserved = reserved;
-                self.running.insert(id.clone());
+                let tracked = self.jobs.get_mut(&id).expect("inserted above");
+                tracked.renewed_at = now;
+                tracked.reserved = reserved;
+                self.claimed.insert(id.clone());
                 self.by_worker.entry(worker).or_default().insert(id);
             }
             JobState::Done | JobState::Cancelled => {
-                self.insert(job, Phase::Over);
-                self.expiring.insert((now + self.retention, id));
+                self.insert(job, Phase::Finished);
+                self.retained_until.insert((now + self.retention, id));
             }
             JobState::Parked { .. } => {
-                self.insert(job, Phase::Over);
+                self.insert(job, Phase::Finished);
             }
         }
     }
 
-    /// Says that durable write `number` carries the last state of `job`.
+    /// Records that write `number` carries the latest state of `job`.
     pub fn on_write_queued(&mut self, number: u64, job: JobId) {
-        if let Some(live) = self.jobs.get_mut(&job) {
-            live.last_write = number;
+        if let Some(tracked) = self.jobs.get_mut(&job) {
+            tracked.last_write = number;
         }
         self.uncommitted.push_back((number, job));
     }
 
-    /// Goes on with the jobs whose last state is durable now.
+    /// Advances the jobs whose writes up to number `up_to` are now durable.
     pub fn on_committed(&mut self, now: Now, up_to: u64) -> Vec<Command> {
         let count = self.uncommitted.iter().take_while(|(number, _)| *number <= up_to).count();
         let durable: Vec<(u64, JobId)> = self.uncommitted.drain(..count).collect();
@@ -277,15 +285,15 @@
 
     fn on_durable(&mut self, now: Now, number: u64, id: &JobId) -> Vec<Command> {
         let task_lease = self.task_lease;
-        let Some(live) = self.jobs.get_mut(id) else { return Vec::new() };
-        if number < live.last_write {
-            // An operator has decided on the parked job since: only its last state counts.
+        let Some(tracked) = self.jobs.get_mut(id) else { return Vec::new() };
+        if number < tracked.last_write {
+            // Superseded by an operator's decision on the parked job, whose write is in flight.
             return Vec::new();
         }
-        match live.phase {
+        match tracked.phase {
             Phase::Accepting => {
                 let accepted = vec![Command::Accepted(id.clone())];
-                if live.is_cancelled {
+                if tracked.is_cancelled {
                     return accepted
                         .into_iter()
                         .chain(self.finish(id, JobState::Cancelled))
@@ -295,16 +303,16 @@
                 accepted
             }
             Phase::Claiming => {
-                let Some(worker) = live.worker().cloned() else { return Vec::new() };
-                if live.is_cancelled {
-                    // Nothing was sent yet, so the claim can be taken back without a wait.
-                    self.free_worker(id);
+                let Some(worker) = tracked.worker().cloned() else { return Vec::new() };
+                if tracked.is_cancelled {
+                    // The start wasn't requested yet, so the claim is withdrawn without a wait.
+                    self.release_worker(id);
                     return self.finish(id, JobState::Cancelled);
                 }
-                live.phase = Phase::Starting;
-                live.renewed_at = now;
-                live.started_at = now;
-                let job = &live.job;
+                tracked.phase = Phase::Starting;
+                tracked.renewed_at = now;
+                tracked.started_at = now;
+                let job = &tracked.job;
                 let task = StartTask {
                     job: id.clone(),
                     attempt: job.attempts,
@@ -316,14 +324,14 @@
                 };
                 vec![Command::Start { worker, task }]
             }
-            Phase::Ending if live.job.state == JobState::Queued => {
+            Phase::Finishing if tracked.job.state == JobState::Queued => {
                 self.enqueue(id);
                 Vec::new()
             }
-            Phase::Ending => {
-                live.phase = Phase::Over;
-                if !matches!(live.job.state, JobState::Parked { .. }) {
-                    self.expiring.insert((now + self.retention, id.clone()));
+            Phase::Finishing => {
+                tracked.phase = Phase::Finished;
+                if !matches!(tracked.job.state, JobState::Parked { .. }) {
+                    self.retained_until.insert((now + self.retention, id.clone()));
                 }
                 Vec::new()
             }
@@ -332,32 +340,32 @@
     }
 
     fn enqueue(&mut self, id: &JobId) {
-        let Some(live) = self.jobs.get_mut(id) else { return };
-        live.phase = Phase::Queued;
-        live.is_stopping = false;
+        let Some(tracked) = self.jobs.get_mut(id) else { return };
+        tracked.phase = Phase::Queued;
+        tracked.is_stopping = false;
         let (class, customer, ticket) =
-            (live.job.class.clone(), live.job.customer.clone(), live.ticket);
+            (tracked.job.class.clone(), tracked.job.customer.clone(), tracked.ticket);
         self.ensure_class(&class).queue.push(&customer, ticket);
     }
 
-    /// Writes a state after which the job waits again or is over.
+    /// Writes the state in which the job is queued again or finished.
     fn finish(&mut self, id: &JobId, state: JobState) -> Vec<Command> {
-        let Some(live) = self.jobs.get_mut(id) else { return Vec::new() };
-        live.phase = Phase::Ending;
-        live.job.state = state;
-        if live.job.state.is_final() {
+        let Some(tracked) = self.jobs.get_mut(id) else { return Vec::new() };
+        tracked.phase = Phase::Finishing;
+        tracked.job.state = state;
+        if tracked.job.state.is_final() {
             self.failures.forget_job(id);
         }
         vec![Command::Write(self.jobs[id].job.clone())]
     }
 
-    /// Gives the worker's reservation back.
-    fn free_worker(&mut self, id: &JobId) {
-        let Some(live) = self.jobs.get_mut(id) else { return };
-        let Some(worker) = live.worker().cloned() else { return };
-        let reserved = std::mem::take(&mut live.reserved);
+    /// Releases the reservation of a job on its worker.
+    fn release_worker(&mut self, id: &JobId) {
+        let Some(tracked) = self.jobs.get_mut(id) else { return };
+        let Some(worker) = tracked.worker().cloned() else { return };
+        let reserved = std::mem::take(&mut tracked.reserved);
         self.workers.release(&worker, &reserved);
-        self.running.remove(id);
+        self.claimed.remove(id);
         self.classes.values_mut().for_each(|class| {
             class.preempting.remove(id);
         });
@@ -369,59 +377,59 @@
         }
     }
 
-    /// Cancels a job. Returns whether it can still be cancelled.
+    /// Cancels a job. Returns false if the job is unknown or finished, or its attempt has just ended.
     pub fn cancel(&mut self, id: &JobId) -> (bool, Vec<Command>) {
-        let Some(live) = self.jobs.get_mut(id) else { return (false, Vec::new()) };
-        match live.phase {
-            Phase::Over | Phase::Ending => (false, Vec::new()),
+        let Some(tracked) = self.jobs.get_mut(id) else { return (false, Vec::new()) };
+        match tracked.phase {
+            Phase::Finished | Phase::Finishing => (false, Vec::new()),
             Phase::Accepting | Phase::Claiming => {
-                live.is_cancelled = true;
+                tracked.is_cancelled = true;
                 (true, Vec::new())
             }
             Phase::Queued => {
                 let (class, customer, ticket) =
-                    (live.job.class.clone(), live.job.customer.clone(), live.ticket);
+                    (tracked.job.class.clone(), tracked.job.customer.clone(), tracked.ticket);
                 self.ensure_class(&class).queue.remove(&customer, ticket);
                 (true, self.finish(id, JobState::Cancelled))
             }
             Phase::Starting | Phase::Running => {
-                live.is_cancelled = true;
-                live.is_stopping = true;
-                (true, live.command(TaskAction::Stop).into_iter().collect())
+                tracked.is_cancelled = true;
+                tracked.is_stopping = true;
+                (true, tracked.command(TaskAction::Stop).into_iter().collect())
             }
         }
     }
 
-    /// Carries an operator's decision on a parked job out: it waits again from now on, or is given
-    /// up. Returns whether the job was parked; it is from the moment that it is shown so, also
-    /// while the store has yet to confirm it, or a decision made at once would be lost unseen.
-    pub fn resolve_parked(&mut self, id: &JobId, runs_again: bool) -> (bool, Vec<Command>) {
-        let is_parked = self.jobs.get(id).is_some_and(|live| {
-            matches!(live.phase, Phase::Ending | Phase::Over)
-                && matches!(live.job.state, JobState::Parked { .. })
+    /// Applies an operator's decision on a parked job: queues it again or cancels it. Returns whether
+    /// the job was parked. A job counts as parked before its parking is durable, because it is
+    /// already reported as parked and a decision made at once must not be dropped.
+    pub fn resolve_parked(&mut self, id: &JobId, is_retry: bool) -> (bool, Vec<Command>) {
+        let is_parked = self.jobs.get(id).is_some_and(|tracked| {
+            matches!(tracked.phase, Phase::Finishing | Phase::Finished)
+                && matches!(tracked.job.state, JobState::Parked { .. })
         });
         if !is_parked {
             return (false, Vec::new());
         }
         self.failures.forget_job(id);
-        let state = if runs_again { JobState::Queued } else { JobState::Cancelled };
+        let state = if is_retry { JobState::Queued } else { JobState::Cancelled };
         (true, self.finish(id, state))
     }
 
-    /// Forgets old jobs, gives silent tasks up, and places what fits.
+    /// Removes jobs past their retention, expires task leases and places queued jobs.
     pub fn tick(&mut self, now: Now) -> Vec<Command> {
-        let mut commands = self.expire(now);
+        let mut commands = self.expire_finished(now);
         commands.extend(self.expire_task_leases(now));
         commands.extend(self.place(now));
         commands
     }
 
-    fn expire(&mut self, now: Now) -> Vec<Command> {
+    fn expire_finished(&mut self, now: Now) -> Vec<Command> {
         let mut commands = Vec::new();
-        while self.expiring.first().is_some_and(|(at, _)| *at <= now) {
-            let (_, id) = self.expiring.pop_first().expect("it was there above");
-            if let Some(live) = self.jobs.remove(&id) {
-                self.tickets.remove(&live.ticket);
+        while self.retained_until.first().is_some_and(|(at, _)| *at <= now) {
+            let (_, id) = self.retained_until.pop_first().expect("checked by the loop condition");
+            if let Some(tracked) = self.jobs.remove(&id) {
+                self.tickets.remove(&tracked.ticket);
             }
             commands.push(Command::Forget(id));
         }
--- a/crates/jackdawpier_jobs/src/queue/tasks.rs
+++ b/crates/jackdawpier_jobs/src/queue/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks at their workers: starts, reports, renewals and the end of silent ones.
+//! Tasks on workers: start outcomes, reports, lease renewals and lease timeout.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -14,54 +14,54 @@
     job::{JobState, ParkReason},
 };
 
-/// Renewals a task lease.
+/// Number of renewals per task lease.
 const RENEWALS_PER_LEASE: u32 = 3;
 
-/// Waited beyond a task lease before a silent task is taken for stopped.
+/// Wait beyond the task lease before an unresponsive task is considered stopped.
 const LEASE_MARGIN: Duration = Duration::from_secs(1);
 
 impl JobQueue {
-    /// Learns how the start of a task went.
+    /// Handles the outcome of a request to start a task.
     pub fn on_start_outcome(
         &mut self,
         now: Now,
         id: &JobId,
         attempt: u32,
-        end: StartOutcome,
+        outcome: StartOutcome,
     ) -> Vec<Command> {
-        let Some(live) = self.jobs.get_mut(id) else { return Vec::new() };
-        if live.phase != Phase::Starting || live.job.attempts != attempt {
+        let Some(tracked) = self.jobs.get_mut(id) else { return Vec::new() };
+        if tracked.phase != Phase::Starting || tracked.job.attempts != attempt {
             return Vec::new();
         }
-        match end {
+        match outcome {
             StartOutcome::Reported(report) => {
-                live.phase = Phase::Running;
+                tracked.phase = Phase::Running;
                 self.on_report(now, &report)
             }
             StartOutcome::NotSent => {
-                let worker = live.worker().cloned();
-                let is_cancelled = live.is_cancelled;
-                self.free_worker(id);
+                let worker = tracked.worker().cloned();
+                let is_cancelled = tracked.is_cancelled;
+                self.release_worker(id);
                 if let Some(worker) = worker {
-                    self.leave_out(&worker);
+                    self.exclude_worker(&worker);
                 }
                 let state = if is_cancelled { JobState::Cancelled } else { JobState::Queued };
                 self.finish(id, state)
             }
-            // The worker is asked, and the lease is waited out.
+            // The task may run, so it counts as running until its worker reports or its lease expires.
             StartOutcome::Unanswered => {
-                live.phase = Phase::Running;
+                tracked.phase = Phase::Running;
                 Vec::new()
             }
         }
     }
 
-    /// Takes no new work to a worker that can't be reached, until the list says otherwise.
-    fn leave_out(&mut self, worker: &str) {
+    /// Excludes an unreachable worker from placement until the instance list adds it again.
+    fn exclude_worker(&mut self, worker: &str) {
         self.workers.remove(worker);
     }
 
-    /// Takes the reports of one worker that answered; tasks that it doesn't know are not running.
+    /// Handles the complete task reports of one worker. Tasks missing from them are not running.
     pub fn on_reports(
         &mut self,
         now: Now,
@@ -70,42 +70,42 @@
     ) -> Vec<Command> {
         let mut commands: Vec<Command> =
             reports.iter().flat_map(|report| self.on_report(now, report)).collect();
-        let known: BTreeSet<&JobId> = reports.iter().map(|report| &report.job).collect();
+        let reported: BTreeSet<&JobId> = reports.iter().map(|report| &report.job).collect();
         let missing: Vec<JobId> = self
             .by_worker
             .get(worker)
             .into_iter()
             .flatten()
-            .filter(|id| !known.contains(id))
+            .filter(|id| !reported.contains(id))
             .filter(|id| self.jobs[*id].phase == Phase::Running)
-            // A start that was lost may still arrive within the lease.
+            // A delayed start request may still reach the worker within the lease.
             .filter(|id| now >= self.jobs[*id].renewed_at + self.task_lease + LEASE_MARGIN)
             .cloned()
             .collect();
-        commands.extend(missing.iter().flat_map(|id| self.on_unknown(now, id)));
+        commands.extend(missing.iter().flat_map(|id| self.on_lease_expired(now, id)));
         commands
     }
 
-    /// Takes the report of one task.
+    /// Handles the report of one task.
     pub fn on_report(&mut self, now: Now, report: &TaskReport) -> Vec<Command> {
-        let Some(live) = self.jobs.get_mut(&report.job) else { return Vec::new() };
-        let is_current = live.job.attempts == report.attempt
-            && matches!(live.phase, Phase::Starting | Phase::Running);
+        let Some(tracked) = self.jobs.get_mut(&report.job) else { return Vec::new() };
+        let is_current = tracked.job.attempts == report.attempt
+            && matches!(tracked.phase, Phase::Starting | Phase::Running);
         if !is_current {
             return Vec::new();
         }
-        let Some(worker) = live.worker().cloned() else { return Vec::new() };
+        let Some(worker) = tracked.worker().cloned() else { return Vec::new() };
         let (id, class, customer) =
-            (report.job.clone(), live.job.class.clone(), live.job.customer.clone());
-        self.size_estimator.observe(&class, &customer, live.job.declared, report.usage);
+            (report.job.clone(), tracked.job.class.clone(), tracked.job.customer.clone());
+        self.size_estimator.observe(&class, &customer, tracked.job.declared, report.usage);
         match report.state {
             TaskState::Running => {
-                live.phase = Phase::Running;
+                tracked.phase = Phase::Running;
                 Vec::new()
             }
             TaskState::Done => {
                 self.failures.record_success(&id, &worker);
-                self.free_worker(&id);
+                self.release_worker(&id);
                 self.finish(&id, JobState::Done)
             }
             TaskState::Failed => self.on_failed(now, &id, &worker),
@@ -116,25 +116,32 @@
     fn on_failed(&mut self, now: Now, id: &JobId, worker: &WorkerId) -> Vec<Command> {
         let rack = self.rack_of(worker);
         let verdict = self.failures.record_failure(now, id, worker, &rack);
-        self.free_worker(id);
-        let state = self.state_after(id, ParkReason::Failed, verdict);
+        self.release_worker(id);
+        let state = self.state_after_attempt(id, ParkReason::Failed, verdict);
         self.finish(id, state)
     }
 
-    /// The task stopped before its end, by our word or by the end of its lease.
+    /// Handles a task that stopped before it finished, on request or because its lease expired.
     fn on_stopped(&mut self, id: &JobId) -> Vec<Command> {
-        self.free_worker(id);
-        let state = self.state_after(id, ParkReason::OutcomeUnknown, Verdict::RetryElsewhere);
+        self.release_worker(id);
+        let state =
+            self.state_after_attempt(id, ParkReason::OutcomeUnknown, Verdict::RetryElsewhere);
         self.finish(id, state)
     }
 
-    /// What becomes of a job whose task has ended without success; `once` is why it is parked if it may not be repeated.
-    fn state_after(&self, id: &JobId, once: ParkReason, verdict: Verdict) -> JobState {
-        let live = &self.jobs[id];
-        if live.is_cancelled {
+    /// Returns the next state of a job whose attempt ended without success. A job that is not
+    /// idempotent is parked for `non_idempotent_reason`.
+    fn state_after_attempt(
+        &self,
+        id: &JobId,
+        non_idempotent_reason: ParkReason,
+        verdict: Verdict,
+    ) -> JobState {
+        let tracked = &self.jobs[id];
+        if tracked.is_cancelled {
             JobState::Cancelled
-        } else if !live.job.is_idempotent {
-            JobState::Parked { reason: once }
+        } else if !tracked.job.is_idempotent {
+            JobState::Parked { reason: non_idempotent_reason }
         } else if verdict == Verdict::JobNeverRuns {
             JobState::Parked { reason: ParkReason::NeverRuns }
         } else {
@@ -142,91 +149,96 @@
         }
     }
 
-    /// The rack of a worker; one that isn't known stands alone.
+    /// Returns the rack of a worker. An unknown worker counts as a rack of its own.
     fn rack_of(&self, worker: &WorkerId) -> RackName {
         self.workers.info(worker).map_or_else(|| worker.clone(), |info| info.rack.clone())
     }
 
-    /// The lease is over and nobody knows how the task ended.
-    fn on_unknown(&mut self, now: Now, id: &JobId) -> Vec<Command> {
+    /// Handles a task whose lease expired and whose outcome is unknown.
+    fn on_lease_expired(&mut self, now: Now, id: &JobId) -> Vec<Command> {
         let worker = self.jobs[id].worker().cloned();
-        let is_shared = self.has_newcomer_beside(id);
-        self.free_worker(id);
+        let has_likelier_cause = self.has_later_start_on_worker(id);
+        self.release_worker(id);
         let verdict = worker.map_or(Verdict::RetryElsewhere, |worker| {
             let rack = self.rack_of(&worker);
-            self.failures.record_worker_loss(now, id, &worker, &rack, is_shared)
+            self.failures.record_worker_loss(now, id, &worker, &rack, has_likelier_cause)
         });
-        let state = self.state_after(id, ParkReason::OutcomeUnknown, verdict);
+        let state = self.state_after_attempt(id, ParkReason::OutcomeUnknown, verdict);
         self.finish(id, state)
     }
 
-    /// Whether another job began on the worker of a job long after it, and hasn't ended there.
-    fn has_newcomer_beside(&self, id: &JobId) -> bool {
-        let live = &self.jobs[id];
-        let began_after = live.started_at + self.task_lease / RENEWALS_PER_LEASE;
-        let beside = live.worker().and_then(|worker| self.by_worker.get(worker));
-        beside.into_iter().flatten().any(|other| self.jobs[other].started_at >= began_after)
+    /// Whether another job started on the worker of `id` at least one renewal interval after it and
+    /// is still there.
+    fn has_later_start_on_worker(&self, id: &JobId) -> bool {
+        let tracked = &self.jobs[id];
+        let min_started_at = tracked.started_at + self.task_lease / RENEWALS_PER_LEASE;
+        let same_worker = tracked.worker().and_then(|worker| self.by_worker.get(worker));
+        same_worker.into_iter().flatten().any(|other| self.jobs[other].started_at >= min_started_at)
     }
 
-    /// Whether a job and another that has just begun on a worker would begin there together, and one of them
-    /// has lost a worker before: if this one falls silent too, nothing would tell which of them it was.
+    /// Whether placing `id` on `worker` would start it together with another job, one of which has
+    /// failures on record. If the worker is lost, the loss couldn't be attributed to either of them.
     pub(super) fn would_obscure_failure_cause(&self, now: Now, id: &JobId, worker: &str) -> bool {
         let is_suspect = |id: &JobId| self.failures.failed_workers(id).next().is_some();
-        let is_newcomer = |other: &&JobId| {
-            let live = &self.jobs[*other];
-            let began = live.started_at + self.task_lease / RENEWALS_PER_LEASE;
-            matches!(live.phase, Phase::Claiming | Phase::Starting) || began > now
+        let is_recent_start = |other: &&JobId| {
+            let tracked = &self.jobs[*other];
+            let recent_until = tracked.started_at + self.task_lease / RENEWALS_PER_LEASE;
+            matches!(tracked.phase, Phase::Claiming | Phase::Starting) || recent_until > now
         };
-        let there = self.by_worker.get(worker);
-        let mut newcomers = there.into_iter().flatten().filter(is_newcomer);
-        newcomers.any(|other| is_suspect(id) || is_suspect(other))
+        let same_worker = self.by_worker.get(worker);
+        let mut recent_starts = same_worker.into_iter().flatten().filter(is_recent_start);
+        recent_starts.any(|other| is_suspect(id) || is_suspect(other))
     }
 
-    /// Notes that a renewal reached the worker, sent at `sent_at`.
+    /// Records that a renewal sent at `sent_at` reached the worker.
     pub fn on_renewed(&mut self, sent_at: Now, id: &str) {
-        if let Some(live) = self.jobs.get_mut(id) {
-            live.renewed_at = live.renewed_at.max(sent_at);
+        if let Some(tracked) = self.jobs.get_mut(id) {
+            tracked.renewed_at = tracked.renewed_at.max(sent_at);
         }
     }
 
-    /// Renewals that are due, for tasks that run.
+    /// Returns the due renewals of running tasks, or stop commands for those being stopped.
     pub fn renewals(&self, now: Now) -> Vec<Command> {
         let interval = self.task_lease / RENEWALS_PER_LEASE;
-        self.running
+        self.claimed
             .iter()
             .filter_map(|id| self.jobs.get(id))
-            .filter(|live| live.phase == Phase::Running && now >= live.renewed_at + interval)
-            .filter_map(|live| {
-                let action = if live.is_stopping { TaskAction::Stop } else { TaskAction::Renew };
-                live.command(action)
+            .filter(|tracked| {
+                tracked.phase == Phase::Running && now >= tracked.renewed_at + interval
+            })
+            .filter_map(|tracked| {
+                let action = if tracked.is_stopping { TaskAction::Stop } else { TaskAction::Renew };
+                tracked.command(action)
             })
             .collect()
     }
 
-    /// Renewals of every task that may run, for an owner that can't rely on its lease: whoever
-    /// owns the shard later finds the tasks running. A renewal by two entries does no harm.
+    /// Returns renewals of all tasks that may run, for an owner that can't rely on its member lease.
+    /// They keep the tasks running for the next owner of the shard. Renewals by two entries are
+    /// harmless.
     pub fn keep_alive_renewals(&self) -> Vec<(WorkerId, TaskCommand)> {
-        self.running
+        self.claimed
             .iter()
             .filter_map(|id| self.jobs.get(id))
-            .filter(|live| matches!(live.phase, Phase::Starting | Phase::Running))
-            .filter(|live| !live.is_stopping)
-            .filter_map(|live| match live.command(TaskAction::Renew)? {
+            .filter(|tracked| matches!(tracked.phase, Phase::Starting | Phase::Running))
+            .filter(|tracked| !tracked.is_stopping)
+            .filter_map(|tracked| match tracked.command(TaskAction::Renew)? {
                 Command::Send { worker, command } => Some((worker, command)),
                 _ => None,
             })
             .collect()
     }
 
+    /// Ends the attempts whose task leases have expired.
     pub(super) fn expire_task_leases(&mut self, now: Now) -> Vec<Command> {
-        let wait = self.task_lease + LEASE_MARGIN;
-        let silent: Vec<JobId> = self
-            .running
+        let timeout = self.task_lease + LEASE_MARGIN;
+        let expired: Vec<JobId> = self
+            .claimed
             .iter()
             .filter(|id| self.jobs[*id].phase == Phase::Running)
-            .filter(|id| now >= self.jobs[*id].renewed_at + wait)
+            .filter(|id| now >= self.jobs[*id].renewed_at + timeout)
             .cloned()
             .collect();
-        silent.iter().flat_map(|id| self.on_unknown(now, id)).collect()
+        expired.iter().flat_map(|id| self.on_lease_expired(now, id)).collect()
     }
 }
--- a/crates/jackdawpier_jobs/src/size_estimator.rs
+++ b/crates/jackdawpier_jobs/src/size_estimator.rs
@@ -1,8 +1,9 @@
-//! Learned correction of declared sizes, per class and customer.
+//! Estimates task sizes from reported usage, per class and customer.
 //!
-//! Declared sizes are far off, in both directions. The ratio of used to declared cores is learned
-//! from lagging reports with its spread; placement charges a cautious ratio that falls to the
-//! mean as the spread shrinks. See `docs/design/placement.md`.
+//! Declared sizes are inaccurate in both directions. The estimator tracks the mean and the mean
+//! deviation of the ratio of used to declared cores and memory, from reports that lag behind the
+//! real usage. Placement reserves mean plus deviation, which approaches the mean as the deviation
+//! shrinks. See `docs/design/placement.md`.
 
 use std::collections::HashMap;
 
@@ -11,22 +12,23 @@
     task::TaskResources,
 };
 
+/// Weight of one sample in the moving averages is the reciprocal of this.
 const SMOOTHING: f64 = 8.0;
-/// Spread assumed before the first report, as a share of the declared size.
-const FIRST_SPREAD: f64 = 0.5;
-/// Corrections outside this range are taken for measuring errors.
+/// Mean deviation assumed before the first report, as a share of the declared size.
+const INITIAL_DEVIATION: f64 = 0.5;
+/// Samples are clamped to this range, because more extreme ones are measuring errors.
 const MIN_RATIO: f64 = 0.05;
 const MAX_RATIO: f64 = 16.0;
 
 #[derive(Debug, Clone)]
 struct Ratio {
     mean: f64,
-    spread: f64,
+    deviation: f64,
 }
 
 impl Default for Ratio {
     fn default() -> Self {
-        Self { mean: 1.0, spread: FIRST_SPREAD }
+        Self { mean: 1.0, deviation: INITIAL_DEVIATION }
     }
 }
 
@@ -38,26 +40,26 @@
         }
         let error = sample - self.mean;
         self.mean += error / SMOOTHING;
-        self.spread += (error.abs() - self.spread) / SMOOTHING;
+        self.deviation += (error.abs() - self.deviation) / SMOOTHING;
     }
 
-    /// Mean with one mean deviation on top.
-    fn cautious(&self) -> f64 {
-        self.mean + self.spread
+    /// Returns the mean plus one mean deviation.
+    fn upper_estimate(&self) -> f64 {
+        self.mean + self.deviation
     }
 }
 
 #[derive(Debug, Clone, Default)]
-struct Learned {
+struct SizeRatios {
     cores: Ratio,
     memory: Ratio,
-    sample_count: u64,
+    report_count: u64,
 }
 
-/// Corrections by class and customer.
+/// TaskResources estimates by class and customer.
 #[derive(Debug, Default)]
 pub struct SizeEstimator {
-    by_owner: HashMap<(ClassName, CustomerName), Learned>,
+    by_class_and_customer: HashMap<(ClassName, CustomerName), SizeRatios>,
 }
 
 fn ratio(used: u64, declared: u64) -> f64 {
@@ -69,7 +71,7 @@
 }
 
 impl SizeEstimator {
-    /// Learns from one report of a running task.
+    /// Records the usage that a running task reported.
     pub fn observe(
         &mut self,
         class: &ClassName,
@@ -80,27 +82,29 @@
         if used == TaskResources::default() {
             return;
         }
-        let learned = self.by_owner.entry((class.clone(), customer.clone())).or_default();
-        let is_first = learned.sample_count == 0;
-        learned.cores.observe(ratio(used.cores_milli, declared.cores_milli), is_first);
-        learned.memory.observe(ratio(used.memory_mb, declared.memory_mb), is_first);
-        learned.sample_count += 1;
+        let ratios =
+            self.by_class_and_customer.entry((class.clone(), customer.clone())).or_default();
+        let is_first = ratios.report_count == 0;
+        ratios.cores.observe(ratio(used.cores_milli, declared.cores_milli), is_first);
+        ratios.memory.observe(ratio(used.memory_mb, declared.memory_mb), is_first);
+        ratios.report_count += 1;
     }
 
-    /// The size to reserve for a task. Memory is never reserved below what was declared until a
-    /// report has come, since running out of it kills the neighbours.
+    /// Returns the size to reserve for a task: the declared size until there is a report, since a
+    /// task that runs out of memory kills the other tasks on its worker.
     pub fn estimate(
         &self,
         class: &ClassName,
         customer: &CustomerName,
         declared: TaskResources,
     ) -> TaskResources {
-        let Some(learned) = self.by_owner.get(&(class.clone(), customer.clone())) else {
+        let Some(ratios) = self.by_class_and_customer.get(&(class.clone(), customer.clone()))
+        else {
             return declared;
         };
         TaskResources {
-            cores_milli: scale(declared.cores_milli, learned.cores.cautious()),
-            memory_mb: scale(declared.memory_mb, learned.memory.cautious()),
+            cores_milli: scale(declared.cores_milli, ratios.cores.upper_estimate()),
+            memory_mb: scale(declared.memory_mb, ratios.memory.upper_estimate()),
             accelerators: declared.accelerators,
         }
     }
--- a/crates/jackdawpier_jobs/src/workers.rs
+++ b/crates/jackdawpier_jobs/src/workers.rs
@@ -1,4 +1,4 @@
-//! The workers with what is free on each, indexed for best fit.
+//! Table of workers and their reservations, indexed by free cores for best-fit placement.
 
 use std::collections::{BTreeSet, HashMap};
 
@@ -7,21 +7,22 @@
     task::TaskResources,
 };
 
-/// Workers looked at for one placement; bounds the work at any fleet size.
+/// Maximum number of workers examined from each end of the index for one placement, which bounds
+/// its cost at any fleet size.
 const MAX_CANDIDATES: usize = 48;
 
-/// What the platform's instance list says of a worker.
+/// Attributes of a worker from the platform's instance list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WorkerInfo {
-    /// Its id.
+    /// Id of the worker.
     pub id: WorkerId,
-    /// Its availability zone.
+    /// Availability zone of the worker.
     pub zone: ZoneName,
-    /// Its rack.
+    /// Rack of the worker.
     pub rack: RackName,
-    /// What it has in all.
+    /// Total capacity.
     pub capacity: TaskResources,
-    /// Whether it is leaving and must get no new work.
+    /// Whether the worker is leaving and must not get new work.
     pub is_leaving: bool,
 }
 
@@ -45,38 +46,38 @@
     }
 }
 
-/// The table of workers.
+/// Table of workers and their reservations.
 #[derive(Debug, Default)]
 pub struct Workers {
-    all: HashMap<WorkerId, Worker>,
+    by_id: HashMap<WorkerId, Worker>,
     by_free_cores: BTreeSet<(u64, WorkerId)>,
 }
 
 impl Workers {
     /// Number of workers.
     pub fn len(&self) -> usize {
-        self.all.len()
+        self.by_id.len()
     }
 
-    /// Whether there are none.
+    /// Whether the table is empty.
     pub fn is_empty(&self) -> bool {
-        self.all.is_empty()
+        self.by_id.is_empty()
     }
 
-    /// What is known of a worker.
+    /// Returns the attributes of a worker.
     pub fn info(&self, id: &str) -> Option<&WorkerInfo> {
-        self.all.get(id).map(|worker| &worker.info)
+        self.by_id.get(id).map(|worker| &worker.info)
     }
 
-    /// Ids of all workers.
+    /// Returns the ids of all workers.
     pub fn ids(&self) -> impl Iterator<Item = &WorkerId> {
-        self.all.keys()
+        self.by_id.keys()
     }
 
-    /// Adds a worker or takes over what the list says of it; leaving is final.
+    /// Adds a worker or updates its attributes. `is_leaving` stays set once it was set.
     pub fn upsert(&mut self, mut info: WorkerInfo) {
         let id = info.id.clone();
-        self.change(&id, |existing| match existing {
+        self.update(&id, |existing| match existing {
             Some(worker) => {
                 info.is_leaving |= worker.info.is_leaving;
                 worker.info = info;
@@ -86,37 +87,38 @@
         });
     }
 
-    /// Forgets a worker.
+    /// Removes a worker.
     pub fn remove(&mut self, id: &str) {
-        if let Some(worker) = self.all.remove(id) {
+        if let Some(worker) = self.by_id.remove(id) {
             self.by_free_cores.remove(&(worker.free_cores(), worker.info.id));
         }
     }
 
-    /// Whether any worker could take `size` if it were empty.
+    /// Whether `size` fits on any worker that has no reservations.
     pub fn fits_any_when_empty(&self, size: &TaskResources) -> bool {
-        self.all.values().any(|worker| {
+        self.by_id.values().any(|worker| {
             let empty = Worker { info: worker.info.clone(), used: TaskResources::default() };
             empty.fits(size)
         })
     }
 
-    /// The worker on which `size` leaves the fewest cores free, skipping those that `avoid` names.
+    /// Returns the worker on which `size` leaves the fewest cores free, skipping those for which
+    /// `avoid` returns true.
     pub fn best_fit(&self, size: &TaskResources, avoid: impl Fn(&str) -> bool) -> Option<WorkerId> {
-        let from = (size.cores_milli, WorkerId::from(""));
-        let fits = |id: &&WorkerId| self.all[*id].fits(size) && !avoid(id);
-        let tight = self.by_free_cores.range(from.clone()..).map(|(_, id)| id);
-        let roomy = self.by_free_cores.range(from..).rev().map(|(_, id)| id);
-        tight
+        let min_free = (size.cores_milli, WorkerId::from(""));
+        let fits = |id: &&WorkerId| self.by_id[*id].fits(size) && !avoid(id);
+        let tightest_first = self.by_free_cores.range(min_free.clone()..).map(|(_, id)| id);
+        let roomiest_first = self.by_free_cores.range(min_free..).rev().map(|(_, id)| id);
+        tightest_first
             .take(MAX_CANDIDATES)
             .find(fits)
-            .or_else(|| roomy.take(MAX_CANDIDATES).find(fits))
+            .or_else(|| roomiest_first.take(MAX_CANDIDATES).find(fits))
             .cloned()
     }
 
     /// Reserves `size` on a worker.
     pub fn reserve(&mut self, id: &str, size: &TaskResources) {
-        self.change(id, |worker| {
+        self.update(id, |worker| {
             if let Some(worker) = worker {
                 worker.used.cores_milli += size.cores_milli;
                 worker.used.memory_mb += size.memory_mb;
@@ -126,9 +128,9 @@
         });
     }
 
-    /// Gives a reservation back.
+    /// Releases a reservation of `size` on a worker.
     pub fn release(&mut self, id: &str, size: &TaskResources) {
-        self.change(id, |worker| {
+        self.update(id, |worker| {
             if let Some(worker) = worker {
                 let used = &mut worker.used;
                 used.cores_milli = used.cores_milli.saturating_sub(size.cores_milli);
@@ -139,27 +141,27 @@
         });
     }
 
-    /// Workers that the reservations would fill, in thousandths.
+    /// Returns the reservations as thousandths of an average worker.
     pub fn reserved_workers_milli(&self) -> u32 {
-        let capacity: u64 = self.all.values().map(|w| w.info.capacity.cores_milli).sum();
-        let workers = self.all.len() as u64;
-        let filled = self.used_cores_milli() * workers * 1000;
-        filled.checked_div(capacity).unwrap_or(0) as u32
+        let capacity: u64 = self.by_id.values().map(|w| w.info.capacity.cores_milli).sum();
+        let workers = self.by_id.len() as u64;
+        let reserved = self.used_cores_milli() * workers * 1000;
+        reserved.checked_div(capacity).unwrap_or(0) as u32
     }
 
-    /// Cores reserved on all workers, in thousandths.
+    /// Returns the cores reserved on all workers, in thousandths.
     pub fn used_cores_milli(&self) -> u64 {
-        self.all.values().map(|worker| worker.used.cores_milli).sum()
+        self.by_id.values().map(|worker| worker.used.cores_milli).sum()
     }
 
-    fn change(&mut self, id: &str, change: impl FnOnce(Option<&mut Worker>) -> Option<Worker>) {
-        if let Some(worker) = self.all.get(id) {
+    fn update(&mut self, id: &str, update: impl FnOnce(Option<&mut Worker>) -> Option<Worker>) {
+        if let Some(worker) = self.by_id.get(id) {
             self.by_free_cores.remove(&(worker.free_cores(), worker.info.id.clone()));
         }
-        if let Some(created) = change(self.all.get_mut(id)) {
-            self.all.insert(created.info.id.clone(), created);
+        if let Some(created) = update(self.by_id.get_mut(id)) {
+            self.by_id.insert(created.info.id.clone(), created);
         }
-        if let Some(worker) = self.all.get(id) {
+        if let Some(worker) = self.by_id.get(id) {
             self.by_free_cores.insert((worker.free_cores(), worker.info.id.clone()));
         }
     }
--- a/crates/jackdawpier_jobs/tests/cancelled_jobs.rs
+++ b/crates/jackdawpier_jobs/tests/cancelled_jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs that are cancelled while nobody knows whether they run.
+//! Cancellation of jobs whose start outcome is unknown.
 
 mod support;
 
@@ -12,18 +12,19 @@
 use support::{job, worker};
 
 const LEASE: Duration = Duration::from_secs(3);
-/// Longer than a task's lease and its margin.
-const LONG_AFTER: Now = Now::from_secs(20);
+/// Later than the end of a task lease and its margin.
+const AFTER_LEASE: Now = Now::from_secs(20);
 
-/// A queue that has taken a claimed job over, whose start its worker never got; the states that it writes after a cancellation.
-fn cancel_claimed(is_idempotent: bool) -> Vec<JobState> {
+/// Recovers a claimed job that its worker never received, cancels it, and returns the states that
+/// the queue writes after the task lease has expired.
+fn cancel_recovered(is_idempotent: bool) -> Vec<JobState> {
     let id: JobId = "job".into();
     let mut queue = JobQueue::new(LEASE, Duration::from_secs(60));
     queue.upsert_worker(worker("worker", "rack"));
     let claimed = JobState::Claimed { worker: "worker".into() };
     queue.recover(Now::ZERO, Job { attempts: 1, state: claimed, ..job(&id, is_idempotent) });
-    assert!(queue.cancel(&id).0, "it is answered as cancelled");
-    let commands = queue.on_reports(LONG_AFTER, &"worker".into(), &[]);
+    assert!(queue.cancel(&id).0, "the cancellation is accepted");
+    let commands = queue.on_reports(AFTER_LEASE, &"worker".into(), &[]);
     let writes = commands.into_iter().filter_map(|command| match command {
         Command::Write(job) => Some(job.state),
         _ => None,
@@ -31,14 +32,14 @@
     writes.collect()
 }
 
-/// A job that may not be repeated was parked though its caller had been told that it is cancelled.
+/// Guards against parking a non-idempotent job after its cancellation was accepted.
 #[test]
-fn unknown_once() {
-    assert_eq!(cancel_claimed(false), [JobState::Cancelled]);
+fn non_idempotent() {
+    assert_eq!(cancel_recovered(false), [JobState::Cancelled]);
 }
 
-/// One that may be repeated waited again.
+/// Guards against queueing an idempotent job again after its cancellation was accepted.
 #[test]
-fn unknown_repeatable() {
-    assert_eq!(cancel_claimed(true), [JobState::Cancelled]);
+fn idempotent() {
+    assert_eq!(cancel_recovered(true), [JobState::Cancelled]);
 }
--- a/crates/jackdawpier_jobs/tests/lost_workers.rs
+++ b/crates/jackdawpier_jobs/tests/lost_workers.rs
@@ -1,5 +1,7 @@
-//! A job that may be repeated crashed each worker that ran it. A worker that crashes reports nothing, so
-//! the job was claimed again whenever its lease was over, by one worker after the other, without end.
+//! Idempotent jobs that crash their workers.
+//!
+//! Guards against retrying such a job without limit: a crashed worker reports nothing, so the job
+//! was placed on one worker after another as its task leases expired.
 
 mod support;
 
@@ -20,69 +22,69 @@
 const LEASE: Duration = Duration::from_secs(3);
 const TICK: Duration = Duration::from_millis(100);
 
-/// A queue with as many workers in two racks, each of which falls silent once it has taken a start, other
-/// than of a harmless job.
-struct SilentWorkers {
+/// Simulates a queue with `worker_count` workers in two racks. A worker stops responding once it
+/// starts a job that is not in `harmless`.
+struct CrashingWorkers {
     queue: JobQueue,
-    workers: usize,
+    worker_count: usize,
     now: Now,
     writes: u64,
     starts: Vec<JobId>,
     harmless: BTreeSet<JobId>,
-    silent: BTreeSet<WorkerId>,
+    unresponsive: BTreeSet<WorkerId>,
 }
 
-/// One of the workers, every other in the second rack.
+/// Returns worker `number`; the racks alternate.
 fn rack_worker(number: usize) -> WorkerInfo {
     worker(&format!("worker-{number}"), &format!("rack-{}", number % 2))
 }
 
-impl SilentWorkers {
-    fn new(workers: usize) -> Self {
+impl CrashingWorkers {
+    fn new(worker_count: usize) -> Self {
         let mut queue = JobQueue::new(LEASE, Duration::from_secs(60));
-        for number in 0..workers {
+        for number in 0..worker_count {
             queue.upsert_worker(rack_worker(number));
         }
         Self {
             queue,
-            workers,
+            worker_count,
             now: Now::ZERO,
             writes: 0,
             starts: Vec::new(),
             harmless: BTreeSet::new(),
-            silent: BTreeSet::new(),
+            unresponsive: BTreeSet::new(),
         }
     }
 
     fn submit(&mut self, id: &JobId) {
         let job = job(id, true);
         let commands = self.queue.submit(job);
-        self.follow(commands);
+        self.execute(commands);
     }
 
-    /// Another process holds the shard from now on; it knows what is durable.
-    fn change_holder(&mut self) {
+    /// Replaces the queue by one that has recovered the durable jobs, as a new owner of the shard does.
+    fn change_owner(&mut self) {
         let mut queue = JobQueue::new(LEASE, Duration::from_secs(60));
-        for number in 0..self.workers {
+        for number in 0..self.worker_count {
             queue.upsert_worker(rack_worker(number));
         }
         self.queue.jobs().for_each(|job| queue.recover(self.now, job.clone()));
         self.queue = queue;
     }
 
-    fn follow(&mut self, commands: Vec<Command>) {
+    fn execute(&mut self, commands: Vec<Command>) {
         for command in commands {
             match command {
                 Command::Write(job) => {
                     self.writes += 1;
                     self.queue.on_write_queued(self.writes, job.id.clone());
                     let durable = self.queue.on_committed(self.now, self.writes);
-                    self.follow(durable);
+                    self.execute(durable);
                 }
                 Command::Start { worker, task: start } => {
                     self.starts.push(start.job.clone());
                     if !self.harmless.contains(&start.job) {
-                        self.silent.insert(worker);
+                        self.unresponsive.insert(worker);
                     }
                     let report = TaskReport {
                         job: start.job.clone(),
@@ -94,7 +96,7 @@
                     let end = StartOutcome::Reported(report);
                     let next =
                         self.queue.on_start_outcome(self.now, &start.job, start.attempt, end);
-                    self.follow(next);
+                    self.execute(next);
                 }
                 _ => {}
             }
@@ -106,7 +108,7 @@
         while self.now < until {
             self.now += TICK;
             let commands = self.queue.tick(self.now);
-            self.follow(commands);
+            self.execute(commands);
             self.renew();
         }
     }
@@ -114,7 +116,7 @@
     fn renew(&mut self) {
         for renewal in self.queue.renewals(self.now) {
             let Command::Send { worker, command } = renewal else { continue };
-            if !self.silent.contains(&worker) {
+            if !self.unresponsive.contains(&worker) {
                 self.queue.on_renewed(self.now, &command.job);
             }
         }
@@ -122,22 +124,22 @@
 }
 
 #[test]
-fn loses_each() {
+fn parked_after_losses() {
     let id: JobId = "job".into();
-    let mut world = SilentWorkers::new(6);
+    let mut world = CrashingWorkers::new(6);
     world.submit(&id);
     world.run_for(LEASE * 12);
-    let state = world.queue.job(&id).expect("it is known").state.clone();
+    let state = world.queue.job(&id).expect("the job is known").state.clone();
     assert_eq!(world.starts.len(), 3);
     assert_eq!(state, JobState::Parked { reason: ParkReason::NeverRuns });
 }
 
-/// A long job loses its workers to others that had just begun there. It was parked with the third, as if
-/// it could run nowhere, though it had run for seconds on each.
+/// Guards against parking a job that loses its workers to jobs that start later on the same worker:
+/// losses with a likelier cause must not count as its own failures.
 #[test]
-fn beside_another() {
+fn likelier_cause() {
     let long: JobId = "long".into();
-    let mut world = SilentWorkers::new(24);
+    let mut world = CrashingWorkers::new(24);
     world.harmless.insert(long.clone());
     world.submit(&long);
     world.run_for(LEASE * 2);
@@ -145,26 +147,27 @@
         let short: JobId = format!("short-{number}").as_str().into();
         world.submit(&short);
         world.run_for(LEASE * 3);
-        let silent = world.silent.clone();
-        world.queue.retain_workers(|worker| !silent.contains(worker));
+        let unresponsive = world.unresponsive.clone();
+        world.queue.retain_workers(|worker| !unresponsive.contains(worker));
     }
-    let state = world.queue.job(&long).expect("it is known").state.clone();
+    let state = world.queue.job(&long).expect("the job is known").state.clone();
     assert!(matches!(state, JobState::Claimed { .. }), "{state:?}");
     let starts = world.starts.iter().filter(|id| **id == long).count();
-    assert!(starts > 3, "it has lost three workers to the others: {starts} starts");
+    assert!(starts > 3, "three losses must have a likelier cause: {starts} starts");
 }
 
-/// Each later holder of a shard counted anew, so a job lost workers without end.
+/// Guards against retrying a job without limit if each new owner of the shard restarts the count of
+/// its failures.
 #[test]
 fn counted_anew() {
     let id: JobId = "job".into();
-    let mut world = SilentWorkers::new(24);
+    let mut world = CrashingWorkers::new(24);
     world.submit(&id);
     for _ in 0..12 {
         world.run_for(LEASE * 2);
-        world.change_holder();
+        world.change_owner();
     }
-    let state = world.queue.job(&id).expect("it is known").state.clone();
+    let state = world.queue.job(&id).expect("the job is known").state.clone();
     assert_eq!(world.starts.len(), 3);
     assert_eq!(state, JobState::Parked { reason: ParkReason::NeverRuns });
 }
--- a/crates/jackdawpier_jobs/tests/parked.rs
+++ b/crates/jackdawpier_jobs/tests/parked.rs
@@ -1,4 +1,4 @@
-//! An operator's decision on a parked job, while the job's last state is not durable yet.
+//! Operator decisions on a parked job whose last state is not durable yet.
 
 mod support;
 
@@ -15,14 +15,14 @@
 };
 use support::{SIZE, job, worker};
 
-/// A queue that numbers its writes, as the cell of its owner does.
+/// Owner of a queue that numbers its writes, as a cell does.
 struct Owner {
     queue: JobQueue,
     writes: Vec<Job>,
 }
 
 impl Owner {
-    fn follow(&mut self, commands: Vec<Command>) {
+    fn execute(&mut self, commands: Vec<Command>) {
         for command in commands {
             if let Command::Write(job) = command {
                 let id = job.id.clone();
@@ -34,34 +34,34 @@
 
     fn commit(&mut self, up_to: usize) -> Vec<Command> {
         let commands = self.queue.on_committed(Now::ZERO, up_to as u64);
-        self.follow(commands.clone());
+        self.execute(commands.clone());
         commands
     }
 
-    /// Carries an operator's decision out and says whether it was taken.
-    fn decide(&mut self, id: &JobId, runs_again: bool) -> bool {
-        let (is_accepted, commands) = self.queue.resolve_parked(id, runs_again);
-        self.follow(commands);
+    /// Applies an operator's decision; returns whether it was accepted.
+    fn decide(&mut self, id: &JobId, is_retry: bool) -> bool {
+        let (is_accepted, commands) = self.queue.resolve_parked(id, is_retry);
+        self.execute(commands);
         is_accepted
     }
 
     fn state(&self, id: &JobId) -> JobState {
-        self.queue.job(id).expect("it is known").state.clone()
+        self.queue.job(id).expect("the job is known").state.clone()
     }
 }
 
-/// An owner at which a job that may not be repeated has just failed, with that state under way
-/// to the store.
-fn owner_of_failed(id: &JobId) -> Owner {
+/// Returns an owner whose non-idempotent job has just failed. The write of the parked state is in
+/// flight.
+fn owner_with_failed_job(id: &JobId) -> Owner {
     let mut queue = JobQueue::new(Duration::from_secs(3), Duration::from_secs(60));
     queue.upsert_worker(worker("worker", "rack"));
     let mut owner = Owner { queue, writes: Vec::new() };
     let job = job(id, false);
     let submitted = owner.queue.submit(job);
-    owner.follow(submitted);
+    owner.execute(submitted);
     owner.commit(1);
     let claimed = owner.queue.tick(Now::ZERO);
-    owner.follow(claimed);
+    owner.execute(claimed);
     owner.commit(2);
     let report = TaskReport {
         job: id.clone(),
@@ -71,46 +71,47 @@
         ran_ms: 1,
     };
     let ended = owner.queue.on_start_outcome(Now::ZERO, id, 1, StartOutcome::Reported(report));
-    owner.follow(ended);
+    owner.execute(ended);
     assert_eq!(owner.state(id), JobState::Parked { reason: ParkReason::Failed });
     owner
 }
 
-/// What is shown as parked can be discarded: the decision isn't lost because the store is slow.
+/// Guards against dropping a decision to discard a job while the write of its parked state is in
+/// flight.
 #[test]
 fn discarded_early() {
     let id: JobId = "job".into();
-    let mut owner = owner_of_failed(&id);
-    assert!(owner.decide(&id, false), "the decision was dropped");
+    let mut owner = owner_with_failed_job(&id);
+    assert!(owner.decide(&id, false), "the decision must be accepted");
     assert_eq!(owner.state(&id), JobState::Cancelled);
     owner.commit(3);
     owner.commit(4);
-    assert_eq!(owner.writes[3].state, JobState::Cancelled, "the last state in the store");
+    assert_eq!(owner.writes[3].state, JobState::Cancelled, "last state written to the store");
     assert_eq!(owner.state(&id), JobState::Cancelled);
 }
 
-/// A job that may run again waits for a worker once the decision is durable, not before.
+/// Guards against claiming a job before the decision to retry it is durable.
 #[test]
 fn retried_early() {
     let id: JobId = "job".into();
-    let mut owner = owner_of_failed(&id);
-    assert!(owner.decide(&id, true), "the decision was dropped");
+    let mut owner = owner_with_failed_job(&id);
+    assert!(owner.decide(&id, true), "the decision must be accepted");
     owner.commit(3);
     let early = owner.queue.tick(Now::ZERO);
     assert!(early.is_empty(), "claimed while the store still shows it as parked: {early:?}");
     owner.commit(4);
     let claimed = owner.queue.tick(Now::ZERO);
-    owner.follow(claimed);
+    owner.execute(claimed);
     assert!(matches!(owner.state(&id), JobState::Claimed { .. }));
     assert_eq!(owner.writes.len(), 5);
 }
 
-/// Two operators decide one after the other: the second one finds the job decided.
+/// Guards against accepting a second decision on the same parked job.
 #[test]
 fn decided_twice() {
     let id: JobId = "job".into();
-    let mut owner = owner_of_failed(&id);
-    assert!(owner.decide(&id, false), "the decision was dropped");
+    let mut owner = owner_with_failed_job(&id);
+    assert!(owner.decide(&id, false), "the decision must be accepted");
     let (is_accepted, commands) = owner.queue.resolve_parked(&id, true);
     assert!(!is_accepted && commands.is_empty());
     owner.commit(4);
--- a/crates/jackdawpier_jobs/tests/support/mod.rs
+++ b/crates/jackdawpier_jobs/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! Jobs and workers of the tests.
+//! Shared fixtures.
 
-#![allow(dead_code, unreachable_pub, reason = "each test file uses a part of it")]
+#![allow(dead_code, unreachable_pub, reason = "each test file uses only some of the fixtures")]
 
 use jackdawpier_jobs::{
     job::{Job, JobState},
@@ -13,7 +13,7 @@
 const CAPACITY: TaskResources =
     TaskResources { cores_milli: 8_000, memory_mb: 8_000, accelerators: 0 };
 
-/// A worker with room for eight jobs.
+/// Returns a worker with room for eight jobs.
 pub fn worker(id: &str, rack: &str) -> WorkerInfo {
     WorkerInfo {
         id: id.into(),
@@ -24,7 +24,7 @@
     }
 }
 
-/// A job as it is handed in.
+/// Returns a job as it is submitted.
 pub fn job(id: &JobId, is_idempotent: bool) -> Job {
     Job {
         id: id.clone(),
