--- a/crates/jackdawpier_fleet/src/fleet/placement.rs
+++ b/crates/jackdawpier_fleet/src/fleet/placement.rs
@@ -1,4 +1,4 @@
-//! Which waiting task gets room on which executor.
+//! Placement: assigns waiting tasks to executors.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,47 +15,49 @@
     spec::{Resources, StepSpec},
 };
 
-/// Advice is asked for again after this long without an answer.
-const ASK_AGAIN: Duration = Duration::from_secs(2);
-/// Executors that one question names: the advisor takes time for each, and a step needs few.
-const EXECUTORS_PER_ADVICE: usize = 30;
+/// Advice is requested again after this long without an answer.
+const ADVICE_RETRY_INTERVAL: Duration = Duration::from_secs(2);
+/// Maximum number of executors per advice request. The advisor takes time for each, and a step
+/// needs few.
+const MAX_EXECUTORS_PER_ADVICE: usize = 30;
 
-/// A task that has waited this long for room near its data goes wherever there is any.
-const NEAR_FOR: Duration = Duration::from_secs(5);
+/// A task that has waited this long for room near its data may run anywhere.
+const MAX_DATA_LOCALITY_WAIT: Duration = Duration::from_secs(5);
 
-/// How well an executor suits a task; the lowest is taken.
+/// Cost of placing a task on an executor, compared field by field. The executor with the lowest
+/// cost is chosen.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct Fit {
-    /// More of a long-running step than it may miss would be here, so that the machine could never
-    /// be taken.
-    crowds: bool,
-    /// Tasks that would go with its executor, of one that may well crash it.
-    endangers: usize,
-    /// It would take for long a machine with a label that few have and others ask for.
-    blocks_label: bool,
-    /// Work that fills beside work that serves disturbs it.
-    disturbs: bool,
-    /// Its machine is due for maintenance, which would end a long-running task.
-    is_due: bool,
-    /// The data lies elsewhere.
-    is_far: bool,
-    /// It would take room from tasks that need a label which few have.
-    uses_label: bool,
-    /// Tightest first, which leaves the largest gaps elsewhere.
-    left_millicores: u64,
-    left_mb: u64,
+struct PlacementCost {
+    /// The executor would run more tasks of a long-running step than the step may miss, so that its
+    /// machine could never be taken.
+    exceeds_missable: bool,
+    /// Number of tasks on the executor, if the task is on probation and may crash it.
+    endangered_tasks: usize,
+    /// A long-running task would occupy a machine with a scarce label that it doesn't require.
+    blocks_scarce_label: bool,
+    /// A filler task would run beside a task that serves users and interfere with it.
+    interferes: bool,
+    /// The machine is due for maintenance, which would end a long-running task.
+    is_maintenance_due: bool,
+    /// The executor isn't in the rack of the task's data.
+    is_remote: bool,
+    /// The task would use room that tasks which require a scarce label need.
+    uses_scarce_label: bool,
+    /// Best fit: the least remaining room first, which leaves the largest gaps elsewhere.
+    remaining_millicores: u64,
+    remaining_mb: u64,
 }
 
-/// Whether a task may be placed away from its data.
+/// Whether a task may be placed outside the rack of its data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Far {
+enum RemotePlacement {
     Allowed,
     WhereRoomy,
     Forbidden,
 }
 
 impl Fleet {
-    /// Gives room to waiting tasks, in the order of [`crate::order`].
+    /// Places waiting tasks in the order of [`crate::order`].
     pub(super) fn place(&mut self, now: Now) {
         let mut waiting: Vec<(Rank, JobId)> = Vec::new();
         for (queue, ids) in &self.open_jobs {
@@ -88,28 +90,28 @@
         self.queues.get(&job.queue).map(|queue| &queue.service)
     }
 
-    /// Places what fits of one job, at most `most` single tasks or gangs, and returns whether there was
-    /// room for any.
+    /// Places startable tasks of a job, at most `most` single tasks or gangs, and returns whether
+    /// any was placed.
     pub(super) fn place_job(
         &mut self,
         now: Now,
         id: &JobId,
         round: &mut PlacementRound,
-        most: usize,
+        max_starts: usize,
     ) -> bool {
         let Some(job) = self.jobs.get_mut(id) else { return false };
-        let candidates: Vec<TaskIndex> = job.startable.drain(..).collect();
+        let startable: Vec<TaskIndex> = job.startable.drain(..).collect();
         let mut kept = Vec::new();
-        // Tasks of a step are alike: once one fits nowhere, none does.
+        // The tasks of a step are alike: once one fits no executor, none does.
         let mut full_slots: Vec<usize> = Vec::new();
         let mut placed = 0;
-        for index in candidates {
+        for index in startable {
             let job = &self.jobs[id];
             if job.tasks[index].phase != Phase::Waiting {
                 continue;
             }
             let (step, slot) = (job.step(index), job.slot(index));
-            let is_skipped = placed >= most
+            let is_skipped = placed >= max_starts
                 || full_slots.contains(&slot)
                 || round.is_known_unplaceable(step)
                 || job.tasks[index].not_before > now;
@@ -131,13 +133,14 @@
                 continue;
             }
             let is_suspect = self.is_suspect(job, index);
-            let is_plain = !is_suspect && self.is_plain(job, step);
+            let needs_only_room_and_label =
+                !is_suspect && self.needs_only_room_and_label(job, step);
             if let Some(executor) = self.choose_executor(now, id, index, None, round) {
                 self.assign(id, index, executor);
                 placed += 1;
                 continue;
             }
-            if is_plain {
+            if needs_only_room_and_label {
                 round.note_unplaceable(self.jobs[id].step(index));
             }
             if is_suspect {
@@ -156,16 +159,15 @@
         placed > 0
     }
 
-    /// Whether a task, or its whole gang, may start without its account having more running than its
-    /// cap allows.
+    /// Whether a task, or its whole gang, can start within the cap of its account.
     pub(super) fn is_within_cap(&self, job: &Job, index: TaskIndex) -> bool {
         let step = job.step(index);
         let together = if step.is_gang { step.count } else { 1 };
         self.accounts.allows(job.account.as_ref(), &step.need, together)
     }
 
-    /// Whether nothing but its room and its labels keeps an executor from running a step.
-    fn is_plain(&self, job: &Job, step: &StepSpec) -> bool {
+    /// Whether only free room and labels decide which executors can run a step.
+    fn needs_only_room_and_label(&self, job: &Job, step: &StepSpec) -> bool {
         let needs_advice = self.queues.get(&job.queue).is_some_and(|queue| queue.needs_advice);
         !needs_advice && step.data_rack.is_none() && step.max_per_executor == 0
     }
@@ -185,7 +187,8 @@
         self.isolate_start(&executor, id, index);
     }
 
-    /// The executor that suits a task best; none if it fits nowhere now.
+    /// Returns the executor with the lowest placement cost for a task, or `None` if the task fits
+    /// nowhere now.
     pub(super) fn choose_executor(
         &mut self,
         now: Now,
@@ -195,12 +198,12 @@
         round: &PlacementRound,
     ) -> Option<ExecutorId> {
         let needs_advice = self.queues.get(&self.jobs[id].queue)?.needs_advice;
-        if needs_advice && !self.has_advice(now, id, index, round) {
+        if needs_advice && !self.ensure_advice(now, id, index, round) {
             return None;
         }
         self.executors_tried += round.executors.len() as u64;
         let job = &self.jobs[id];
-        let far = self.may_go_far(now, round, job, index);
+        let remote = self.remote_placement(now, round, job, index);
         let advice = self.advice.get(&(id.clone(), job.slot(index))).filter(|_| needs_advice);
         let is_suspect = self.is_suspect(job, index);
         round
@@ -215,79 +218,93 @@
                 {
                     return None;
                 }
-                let may_go = match far {
-                    Far::Allowed => true,
-                    Far::WhereRoomy => is_roomy(executor) || !is_far(executor, job, index),
-                    Far::Forbidden => !is_far(executor, job, index),
+                let is_allowed = match remote {
+                    RemotePlacement::Allowed => true,
+                    RemotePlacement::WhereRoomy => {
+                        is_roomy(executor) || !is_remote(executor, job, index)
+                    }
+                    RemotePlacement::Forbidden => !is_remote(executor, job, index),
                 };
-                if !may_go {
+                if !is_allowed {
                     return None;
                 }
-                let uses_label = round.has_unneeded_scarce_label(executor_id, job.step(index));
-                Some((self.fit(executor_id, executor, job, index, uses_label), executor_id))
+                let uses_scarce_label =
+                    round.has_unneeded_scarce_label(executor_id, job.step(index));
+                Some((
+                    self.placement_cost(executor_id, executor, job, index, uses_scarce_label),
+                    executor_id,
+                ))
             })
             .min()
             .map(|(_, executor_id)| executor_id.clone())
     }
 
-    /// Whether a task may be placed away from its data, where it takes several times as long and
-    /// so as much more room: if it still ends in time there or can't run near it at all, and once
-    /// it is late where room is plenty, so that it doesn't wait for ever.
-    fn may_go_far(&self, now: Now, round: &PlacementRound, job: &Job, index: TaskIndex) -> Far {
+    /// Decides whether a task may be placed outside the rack of its data, where it occupies its
+    /// room several times as long. It may if it would still end in time or can't run near its data
+    /// at all. Once it is late it may use roomy executors, so that it doesn't wait forever.
+    fn remote_placement(
+        &self,
+        now: Now,
+        round: &PlacementRound,
+        job: &Job,
+        index: TaskIndex,
+    ) -> RemotePlacement {
         let step = job.step(index);
-        let Some(data_rack) = &step.data_rack else { return Far::Allowed };
-        let Some(queue) = self.queues.get(&job.queue) else { return Far::Allowed };
-        let far = step.estimate.mul_f64(self.settings.remote_factor.max(1.0));
+        let Some(data_rack) = &step.data_rack else { return RemotePlacement::Allowed };
+        let Some(queue) = self.queues.get(&job.queue) else { return RemotePlacement::Allowed };
+        let remote_estimate = step.estimate.mul_f64(self.settings.remote_factor.max(1.0));
         let rest = job.remaining_estimate().saturating_sub(step.estimate);
         let due = job.next_began_at() + objective(job, queue);
-        let exists_near = round.executors.iter().any(|id| {
+        let can_run_near = round.executors.iter().any(|id| {
             let Some(executor) = self.executors.get(id) else { return false };
             let is_near = executor.info.as_ref().is_some_and(|info| {
                 info.rack.as_ref() == Some(data_rack) && step.booked().fits(&info.capacity)
             });
             is_near && is_eligible(executor, job, index)
         });
-        let has_waited = now.saturating_sub(job.tasks[index].waits_since) >= NEAR_FOR;
-        if now + far + rest <= due || !exists_near || has_waited {
-            return Far::Allowed;
+        let has_waited = now.saturating_sub(job.tasks[index].waits_since) >= MAX_DATA_LOCALITY_WAIT;
+        if now + remote_estimate + rest <= due || !can_run_near || has_waited {
+            return RemotePlacement::Allowed;
         }
         match (now > due, step.is_gang) {
-            (false, _) => Far::Forbidden,
-            (true, false) => Far::WhereRoomy,
-            // Its members need room at the same moment, which may never come near the data.
-            (true, true) => Far::Allowed,
+            (false, _) => RemotePlacement::Forbidden,
+            (true, false) => RemotePlacement::WhereRoomy,
+            // Gang members need room at the same moment, which may never be available near the
+            // data.
+            (true, true) => RemotePlacement::Allowed,
         }
     }
 
-    fn fit(
+    fn placement_cost(
         &self,
         id: &ExecutorId,
         executor: &Executor,
         job: &Job,
         index: TaskIndex,
-        uses_label: bool,
-    ) -> Fit {
+        uses_scarce_label: bool,
+    ) -> PlacementCost {
         let step = job.step(index);
         let is_tight = self.settings.policy.fits_tightly;
         let left = executor.free().minus(&step.booked());
-        let disturbs = (step.is_filler && executor.serving > 0)
+        let interferes = (step.is_filler && executor.serving > 0)
             || (step.tail_target.is_some() && executor.fillers > 0);
         let is_bounded = step.is_long_running && step.may_miss > 0;
-        Fit {
-            crowds: is_bounded && step_tasks_on(executor, job, index) >= step.may_miss,
-            endangers: if job.is_on_trial(index) { executor.tasks.len() } else { 0 },
-            blocks_label: uses_label && step.is_long_running,
-            disturbs,
-            is_due: step.is_long_running && self.machines.is_due(id),
-            is_far: is_far(executor, job, index),
-            uses_label,
-            left_millicores: if is_tight { left.cpu_millicores } else { 0 },
-            left_mb: if is_tight { left.memory_mb } else { 0 },
+        PlacementCost {
+            exceeds_missable: is_bounded && step_tasks_on(executor, job, index) >= step.may_miss,
+            endangered_tasks: if job.is_on_trial(index) { executor.tasks.len() } else { 0 },
+            blocks_scarce_label: uses_scarce_label && step.is_long_running,
+            interferes,
+            is_maintenance_due: step.is_long_running && self.machines.is_due(id),
+            is_remote: is_remote(executor, job, index),
+            uses_scarce_label,
+            remaining_millicores: if is_tight { left.cpu_millicores } else { 0 },
+            remaining_mb: if is_tight { left.memory_mb } else { 0 },
         }
     }
 
-    /// Whether the advisor's tickets for a step are at hand; asks for them if not.
-    fn has_advice(
+    /// Returns whether valid tickets of the advisor for a step are available, and requests them
+    /// otherwise.
+    fn ensure_advice(
         &mut self,
         now: Now,
         id: &JobId,
@@ -295,29 +312,29 @@
         round: &PlacementRound,
     ) -> bool {
         let job = &self.jobs[id];
-        let place = (id.clone(), job.slot(index));
-        if let Some(advice) = self.advice.get(&place) {
+        let key = (id.clone(), job.slot(index));
+        if let Some(advice) = self.advice.get(&key) {
             if now < advice.valid_until {
                 return true;
             }
-            if now < advice.asked_at + ASK_AGAIN {
+            if now < advice.asked_at + ADVICE_RETRY_INTERVAL {
                 return false;
             }
         }
         let executors: Vec<ExecutorId> =
-            round.executors.iter().take(EXECUTORS_PER_ADVICE).cloned().collect();
+            round.executors.iter().take(MAX_EXECUTORS_PER_ADVICE).cloned().collect();
         if executors.is_empty() {
             return false;
         }
         let task = job.key(index);
         let tickets = std::collections::BTreeMap::new();
-        let asked = Advice { asked_at: now, valid_until: Now::ZERO, tickets };
-        self.advice.insert(place, asked);
+        let requested = Advice { asked_at: now, valid_until: Now::ZERO, tickets };
+        self.advice.insert(key, requested);
         self.commands.push(Command::Advise { task, executors });
         false
     }
 
-    /// The advisor has answered: the executors that may run the step, with their tickets.
+    /// Applies an answer of the advisor: the executors that may run the step, with their tickets.
     pub fn advice_received(
         &mut self,
         now: Now,
@@ -334,12 +351,12 @@
     }
 }
 
-fn is_far(executor: &Executor, job: &Job, index: TaskIndex) -> bool {
+fn is_remote(executor: &Executor, job: &Job, index: TaskIndex) -> bool {
     let rack = executor.info.as_ref().and_then(|info| info.rack.as_ref());
     job.step(index).data_rack.as_ref().is_some_and(|data| rack != Some(data))
 }
 
-/// At least half of an executor is free.
+/// Whether at least half of the executor's cores are free.
 fn is_roomy(executor: &Executor) -> bool {
     executor
         .info
@@ -347,7 +364,8 @@
         .is_some_and(|info| executor.booked.cpu_millicores * 2 <= info.capacity.cpu_millicores)
 }
 
-/// Whether an executor can run a task: its room, labels and rack, and the bound on tasks of a step.
+/// Whether an executor can run a task now: checks room, label, rack and the limit on tasks of the
+/// step per executor.
 pub(super) fn has_room_for(
     executor: &Executor,
     job: &Job,
@@ -361,7 +379,8 @@
         && is_eligible(executor, job, index)
 }
 
-/// Whether an executor may run a task if it has room: its label, and the bound on tasks of a step.
+/// Whether an executor may run a task given enough room: checks the label and the limit on tasks of
+/// the step per executor.
 pub(super) fn is_eligible(executor: &Executor, job: &Job, index: TaskIndex) -> bool {
     let step = job.step(index);
     let Some(info) = &executor.info else { return false };
@@ -371,7 +390,7 @@
     has_label && is_apart
 }
 
-/// Tasks of a step that an executor could run beside those of the step that it has, if it had this room.
+/// Returns how many more tasks of a step an executor could run if it had this free room.
 pub(super) fn count_fitting(
     executor: &Executor,
     job: &Job,
@@ -389,7 +408,7 @@
     }
 }
 
-/// Tasks of the same step and occurrence on an executor.
+/// Returns the number of tasks of the same step and occurrence on an executor.
 pub(super) fn step_tasks_on(executor: &Executor, job: &Job, index: TaskIndex) -> u32 {
     executor.per_slot.get(&(job.id.clone(), job.slot(index))).copied().unwrap_or(0)
 }
--- a/crates/jackdawpier_fleet/src/fleet/pool_view.rs
+++ b/crates/jackdawpier_fleet/src/fleet/pool_view.rs
@@ -1,8 +1,8 @@
-//! What each pool holds and needs, as the planning of moves sees it.
+//! Supply and demand of each pool, the input for planning moves.
 //!
-//! A pool's need is what runs, what waits and may still be of use, and what arrives at the present
-//! rate. Tasks that wait for a label are counted for themselves as well: machines with the label that
-//! are full of other work are none for them.
+//! The demand of a pool is its running tasks, its waiting tasks that can still end in time, and
+//! arrivals at the current rate. Tasks that wait for a label are also counted separately, since
+//! machines with the label that are full of other tasks can't run them.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -20,98 +20,103 @@
     spec::{Label, Resources, StepSpec},
 };
 
-/// A job that has waited for this long may be one for which there never is room.
-const STUCK_AFTER: Duration = Duration::from_secs(5);
+/// A job is checked for being stuck once it has waited for this long.
+const STUCK_CHECK_AFTER: Duration = Duration::from_secs(5);
 
-/// A task, or its gang, for which there is never room beside the lasting work of its pool.
+/// A task, or its gang, that never finds room beside the long-running tasks of its pool.
 #[derive(Debug, Clone)]
 pub(super) struct StuckTask {
     since: Now,
     pub(super) task: TaskRef,
 }
 
-/// A pool as planning sees it.
+/// Supply and demand of one pool.
 #[derive(Debug, Default, Clone)]
 pub(super) struct PoolView {
-    /// Machines in it that are up and stay.
+    /// Machines that are up and stay in the pool.
     pub(super) up: usize,
-    /// Machines on their way to it.
+    /// Machines on their way to the pool.
     arriving: usize,
-    /// Those of its machines that run nothing.
+    /// Machines of the pool that run nothing.
     pub(super) idle: Vec<MachineId>,
-    /// Room of one machine.
-    machine: Resources,
-    /// What runs, waits and arrives, in thousandths of a core.
+    /// Capacity of one machine.
+    machine_capacity: Resources,
+    /// Demand of running, waiting and arriving tasks.
     need_millicores: u64,
-    /// Machines over which a lasting step has to be spread of which some task waits: it allows so many a machine.
+    /// Machines that the waiting long-running steps need under their limits on tasks per executor.
     min_machines: usize,
-    /// Machines without which a job that has waited for long never finds room beside lasting work.
-    missing: usize,
-    /// That job.
+    /// Additional machines that a stuck job needs beside long-running tasks.
+    missing_machines: usize,
+    /// The task that has been stuck longest.
     pub(super) stuck: Option<StuckTask>,
-    /// Machines and need by label, for the labels that open jobs ask for.
+    /// Supply and demand by label, for the labels that open jobs require.
     labels: BTreeMap<Label, LabelNeed>,
 }
 
 impl PoolView {
-    pub(super) fn needed(&self) -> usize {
-        let for_need = self.need_millicores.div_ceil(self.machine.cpu_millicores.max(1)) as usize;
-        for_need.max(self.min_machines)
+    pub(super) fn needed_machines(&self) -> usize {
+        let for_demand =
+            self.need_millicores.div_ceil(self.machine_capacity.cpu_millicores.max(1)) as usize;
+        for_demand.max(self.min_machines)
     }
 
     pub(super) fn holds(&self) -> usize {
         self.up + self.arriving
     }
 
-    /// Machines with a label that are up or on their way; of any kind without one.
+    /// Returns the number of machines that are up or on their way; with a label only those that
+    /// have it.
     pub(super) fn holds_with_label(&self, label: Option<&Label>) -> usize {
         label.map_or(self.holds(), |label| self.labels.get(label).map_or(0, |need| need.machines))
     }
 
     pub(super) fn lacks(&self) -> usize {
-        let for_need = self.needed().saturating_sub(self.holds());
-        for_need.max(self.missing.saturating_sub(self.arriving))
+        let for_demand = self.needed_machines().saturating_sub(self.holds());
+        for_demand.max(self.missing_machines.saturating_sub(self.arriving))
     }
 
-    /// Machines with each label that are missing.
+    /// Returns the number of missing machines for each label.
     pub(super) fn lacks_by_label(&self) -> impl Iterator<Item = (&Label, usize)> {
-        self.labels.iter().map(|(label, need)| (label, need.missing_machines(&self.machine)))
+        self.labels
+            .iter()
+            .map(|(label, need)| (label, need.missing_machines(&self.machine_capacity)))
     }
 
-    /// Whether a machine with these labels can go without one of them missing: each label that is asked
-    /// for keeps a machine, and as many as its tasks need.
+    /// Whether a machine with these labels can leave the pool. Each required label keeps at least
+    /// one machine, and enough room for its waiting tasks.
     pub(super) fn can_spare(&self, labels: &[Label]) -> bool {
         labels.iter().filter_map(|label| self.labels.get(label)).all(|need| {
-            let left_tasks = need.tasks_with_room.saturating_sub(need.tasks_fitting(&self.machine));
+            let left_tasks =
+                need.tasks_with_room.saturating_sub(need.tasks_fitting(&self.machine_capacity));
             need.machines > 1 && left_tasks >= need.waiting
         })
     }
 
-    /// What bounds its part of the machines with a label.
+    /// Returns the bounds of the pool's share of the machines with a label.
     pub(super) fn share_bounds(&self, label: &Label) -> ShareBounds {
         let need = self.labels.get(label);
-        need.map_or_else(ShareBounds::default, |need| need.share_bounds(&self.machine))
+        need.map_or_else(ShareBounds::default, |need| need.share_bounds(&self.machine_capacity))
     }
 
-    /// A machine with these labels is about to leave.
+    /// Subtracts a machine with these labels that is about to leave.
     pub(super) fn remove_machine_labels(&mut self, labels: &[Label]) {
         for label in labels {
             if let Some(need) = self.labels.get_mut(label) {
                 need.machines = need.machines.saturating_sub(1);
                 need.tasks_with_room =
-                    need.tasks_with_room.saturating_sub(need.tasks_fitting(&self.machine));
+                    need.tasks_with_room.saturating_sub(need.tasks_fitting(&self.machine_capacity));
             }
         }
     }
 
-    /// A machine with these labels is on its way to the pool.
+    /// Adds a machine with these labels that is on its way to the pool.
     pub(super) fn add_arriving_machine(&mut self, labels: &[Label]) {
         self.arriving += 1;
-        let room = self.machine;
+        let room = self.machine_capacity;
         self.add_machine_labels(labels, &room);
     }
 
-    /// Counts a machine with these labels that has this room left.
+    /// Adds a machine with these labels and this free room to the supply by label.
     fn add_machine_labels(&mut self, labels: &[Label], room: &Resources) {
         for label in labels {
             if let Some(need) = self.labels.get_mut(label) {
@@ -130,7 +135,7 @@
             .values()
             .map(|queue| (queue.service.clone(), PoolView::default()))
             .collect();
-        self.size_machines(&mut pools);
+        self.set_machine_capacities(&mut pools);
         let scarce = self.scarce_labels();
         self.add_label_needs(&mut pools, &scarce);
         for info in self.machines.listed.values() {
@@ -148,7 +153,7 @@
             };
             let Some(known) = &executor.info else { continue };
             pool.need_millicores += executor.booked.cpu_millicores;
-            // A frozen executor takes no work for the rest of its life: it is no room for anybody.
+            // A frozen executor accepts no work in its current incarnation, so it isn't supply.
             if known.is_draining || errand.is_some() || executor.is_frozen {
                 continue;
             }
@@ -162,7 +167,7 @@
             }
         }
         self.add_waiting(now, &mut pools);
-        self.add_missing(now, &mut pools);
+        self.add_stuck_jobs(now, &mut pools);
         for (name, pool) in &mut pools {
             let policy = self.settings.policy;
             let arriving = self.arrivals.get_mut(name).map_or(0, |one| one.millicores(now, policy));
@@ -171,21 +176,22 @@
         pools
     }
 
-    /// Notes the room of each pool's largest machine; a pool without one is taken for one of the
-    /// fleet's largest.
-    fn size_machines(&self, pools: &mut BTreeMap<PoolName, PoolView>) {
+    /// Sets the machine capacity of each pool to that of its largest machine, or of the fleet's
+    /// largest if it has none.
+    fn set_machine_capacities(&self, pools: &mut BTreeMap<PoolName, PoolView>) {
         let mut largest = Resources { cpu_millicores: 1, ..Resources::default() };
         for info in self.executors.unordered().filter_map(|executor| executor.info.as_ref()) {
             largest.raise_to(&info.capacity);
             if let Some(pool) = pools.get_mut(&info.service) {
-                pool.machine.raise_to(&info.capacity);
+                pool.machine_capacity.raise_to(&info.capacity);
             }
         }
-        let unknown = pools.values_mut().filter(|pool| pool.machine == Resources::default());
-        unknown.for_each(|pool| pool.machine = largest);
+        let unknown =
+            pools.values_mut().filter(|pool| pool.machine_capacity == Resources::default());
+        unknown.for_each(|pool| pool.machine_capacity = largest);
     }
 
-    /// Counts what waits and can only run on machines with a certain label.
+    /// Adds the waiting tasks that require a label.
     fn add_label_needs(&self, pools: &mut BTreeMap<PoolName, PoolView>, scarce: &[&Label]) {
         for (queue, ids) in &self.open_jobs {
             let Some(queue) = self.queues.get(queue) else { continue };
@@ -207,7 +213,7 @@
         }
     }
 
-    /// Adds what runs on a machine and needs a label of it.
+    /// Adds the tasks on an executor that require a label of it.
     fn add_labelled_load(&self, pool: &mut PoolView, label: &Label, executor: &Executor) {
         let Some(need) = pool.labels.get_mut(label) else { return };
         let mut is_pinned = false;
@@ -222,10 +228,10 @@
         need.pinned += usize::from(is_pinned);
     }
 
-    /// Notes the longest waiting job of each pool if there will never be room for it, and the machines that it lacks:
-    /// lasting work may leave enough cores in all and on no executor enough for one of its tasks. Machines with a
-    /// label are counted by [`LabelNeed`].
-    fn add_missing(&self, now: Now, pools: &mut BTreeMap<PoolName, PoolView>) {
+    /// Finds the job of each pool that has been stuck longest, and the machines that it is missing.
+    /// Long-running tasks may leave enough cores in total but on no single executor enough for one
+    /// of its tasks. Machines with a label are counted by [`LabelNeed`].
+    fn add_stuck_jobs(&self, now: Now, pools: &mut BTreeMap<PoolName, PoolView>) {
         for (queue, ids) in &self.open_jobs {
             let Some(queue) = self.queues.get(queue) else { continue };
             let Some(pool) = pools.get_mut(&queue.service) else { continue };
@@ -235,12 +241,12 @@
                 continue;
             };
             let index = job.startable[0];
-            let missing = self.missing_for(job, index, &queue.service, pool);
+            let missing = self.missing_machines_for(job, index, &queue.service, pool);
             if missing == 0 {
                 continue;
             }
             if job.step(index).required_label.is_none() {
-                pool.missing = pool.missing.max(missing);
+                pool.missing_machines = pool.missing_machines.max(missing);
             }
             let stuck = StuckTask { since, task: (job.id.clone(), index) };
             if pool.stuck.as_ref().is_none_or(|other| since < other.since) {
@@ -249,17 +255,19 @@
         }
     }
 
-    /// Since when the next task of a job waits, if that is long and a machine of the pool could run it.
+    /// Returns since when the next task of a job has been waiting, if it has waited for long and a
+    /// machine of the pool could run it.
     fn stuck_since(&self, now: Now, job: &Job, pool: &PoolView) -> Option<Now> {
         let index = *job.startable.front()?;
         let since = job.tasks[index].waits_since;
-        let has_waited = now.saturating_sub(since) >= STUCK_AFTER;
-        let could_run = pool.machine.count(&job.step(index).booked()) > 0;
-        (has_waited && could_run && self.is_within_cap(job, index)).then_some(since)
+        let has_waited = now.saturating_sub(since) >= STUCK_CHECK_AFTER;
+        let can_ever_run = pool.machine_capacity.count(&job.step(index).booked()) > 0;
+        (has_waited && can_ever_run && self.is_within_cap(job, index)).then_some(since)
     }
 
-    /// Machines that a task, or its gang, lacks beside the lasting work of its service.
-    fn missing_for(
+    /// Returns how many more machines a task, or its gang, needs beside the long-running tasks of
+    /// its service.
+    fn missing_machines_for(
         &self,
         job: &Job,
         index: TaskIndex,
@@ -275,13 +283,13 @@
         let step = job.step(index);
         let lacking = start_group_size(step).saturating_sub(room.fold(0, usize::saturating_add));
         let per_machine = match step.max_per_executor {
-            0 => pool.machine.count(&step.booked()),
-            most => pool.machine.count(&step.booked()).min(most as usize),
+            0 => pool.machine_capacity.count(&step.booked()),
+            most => pool.machine_capacity.count(&step.booked()).min(most as usize),
         };
         if per_machine == 0 { 0 } else { lacking.div_ceil(per_machine) }
     }
 
-    /// Room that an executor has once all else than lasting work has ended.
+    /// Returns the room on an executor that its long-running tasks leave.
     pub(super) fn room_beside_long_running(&self, executor: &Executor) -> Resources {
         let Some(info) = &executor.info else { return Resources::default() };
         let mut booked = Resources::default();
@@ -294,7 +302,8 @@
         info.capacity.minus(&booked)
     }
 
-    /// Adds what waits and may still be of use, as far as the caps of the accounts let it run.
+    /// Adds the waiting tasks of jobs that can still end in time, within the caps of their
+    /// accounts.
     fn add_waiting(&self, now: Now, pools: &mut BTreeMap<PoolName, PoolView>) {
         let mut headroom = self.accounts.headroom();
         for (queue, ids) in &self.open_jobs {
@@ -303,7 +312,7 @@
             let mut least_millicores = 0;
             for job in ids.iter().filter_map(|id| self.jobs.get(id)) {
                 if rank(now, job, queue, self.settings.policy).is_hopeless() {
-                    least_millicores = least_millicores.max(least_room(job));
+                    least_millicores = least_millicores.max(min_start_millicores(job));
                     continue;
                 }
                 let spread = job.startable.iter().map(|&index| min_machines(job.step(index)));
@@ -312,25 +321,26 @@
                 let millicores = waiting.map(|need| need.cpu_millicores).sum::<u64>();
                 pool.need_millicores += headroom.take(job.account.as_ref(), millicores);
             }
-            // What can't earn any more still has to end: there must be room for the largest of it.
+            // Expired jobs still have to end, so there must be room for the largest of them.
             pool.need_millicores += least_millicores;
         }
     }
 }
 
-/// Machines that a lasting step can't do without; none if it doesn't say.
+/// Returns the number of machines that a long-running step needs under its limit on tasks per
+/// executor, or 0 without a limit.
 fn min_machines(step: &StepSpec) -> usize {
     let is_bounded = step.is_long_running && step.max_per_executor > 0;
     if is_bounded { step.count.div_ceil(step.max_per_executor) as usize } else { 0 }
 }
 
-/// Tasks of a step that start only together.
+/// Returns the number of tasks of a step that start together.
 pub(super) fn start_group_size(step: &StepSpec) -> usize {
     if step.is_gang { step.count as usize } else { 1 }
 }
 
-/// The room without which the next task of a job, or its gang, can't ever start.
-fn least_room(job: &Job) -> u64 {
+/// Returns the cores that the next task of a job, or its gang, needs to start.
+fn min_start_millicores(job: &Job) -> u64 {
     job.startable.front().map_or(0, |&index| {
         let step = job.step(index);
         step.booked().cpu_millicores * start_group_size(step) as u64
--- a/crates/jackdawpier_fleet/src/fleet/pools.rs
+++ b/crates/jackdawpier_fleet/src/fleet/pools.rs
@@ -1,8 +1,8 @@
-//! Which machines change pools.
+//! Selects machines that move between pools.
 //!
-//! Each pool in its turn is asked for several times its mean, more than it holds, while others have
-//! room: a few machines that follow the demand serve more than any fixed split. Idle machines move;
-//! nothing is cut short for it.
+//! The demand peaks of pools alternate, and each peak is several times the pool's mean and more
+//! than it holds, while other pools have room. A few machines that follow the demand serve more
+//! than any fixed split. Only idle machines move; no running task is stopped for a move.
 
 use std::{cmp::Reverse, collections::BTreeMap};
 
@@ -14,47 +14,47 @@
     spec::Label,
 };
 
-/// Part of an equal share of all machines that a pool keeps though it needs less now, in percent: its
-/// own turn begins without notice, and machines take a second and a half to come. Of 20, 40, 60, 80
-/// and 100 the middle earned most over both users' days: 0.92 of their marks against 0.75 with 100.
-const KEEP_PERCENT: usize = 50;
-/// Machines that a pool keeps free beyond its need.
+/// Part of an equal share of all machines that a pool keeps beyond its current need. Its own peak
+/// begins without notice, and machines take 1.5 s to arrive. With a full share too few machines
+/// follow the demand: the score of the daily load falls from 0.92 to 0.75.
+const KEPT_SHARE_PERCENT: usize = 50;
+/// Idle machines that a pool keeps beyond its need.
 const SPARE_MACHINES: usize = 1;
 
-/// A pool that lacks machines, with a label or at all.
+/// A pool that is short of machines, in total or with a label.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Shortage {
     /// The pool.
     pub pool: PoolName,
-    /// The label; none for machines of any kind.
+    /// The label, or `None` for machines of any kind.
     pub label: Option<Label>,
-    /// Machines of that kind which it holds, those on their way included.
+    /// Machines of that kind in the pool or on their way to it.
     pub holds: usize,
-    /// Machines that it lacks beyond those.
+    /// Additional machines that it needs.
     pub lacks: usize,
-    /// Machines with the label to which it is entitled, if few machines have it.
+    /// The pool's fair share of the machines with the label, if the label is scarce.
     pub entitled: Option<usize>,
 }
 
 impl Fleet {
-    /// The shortages that the last planning of pools has found.
+    /// Returns the shortages that the last planning of pools found.
     pub fn shortages(&self) -> &[Shortage] {
         &self.shortages
     }
 
-    /// Begins the moves that bring machines to where work waits, the greatest shortage first.
+    /// Starts moves of machines to pools that are short of them, the greatest shortage first.
     pub(super) fn plan_pools(&mut self, now: Now) {
         if now < self.machines.orders_from {
             return;
         }
         let mut pools = self.pool_views(now);
-        let mut standby = self.idle_standby(now);
-        let share = self.kept_share(&pools);
+        let mut standby = self.free_standby_machines(now);
+        let kept = self.kept_machines(&pools);
         self.shortages = shortages_of(&pools, &self.scarce_labels());
         self.track_label_shortages(now);
         for shortage in self.shortages.clone() {
             for _ in 0..shortage.lacks {
-                let found = self.find_machine(now, &shortage, &mut pools, &mut standby, share);
+                let found = self.find_machine(now, &shortage, &mut pools, &mut standby, kept);
                 let Some(machine) = found else {
                     self.begin_defragmentation(now, &shortage, &pools);
                     break;
@@ -64,35 +64,36 @@
         }
     }
 
-    /// Machines that each pool keeps though it needs less now.
-    fn kept_share(&self, pools: &BTreeMap<PoolName, PoolView>) -> usize {
+    /// Returns how many machines each pool keeps even if it needs fewer now.
+    fn kept_machines(&self, pools: &BTreeMap<PoolName, PoolView>) -> usize {
         let total: usize = pools.values().map(PoolView::holds).sum();
-        let keep_percent = if self.settings.policy.keeps_share { KEEP_PERCENT } else { 0 };
+        let keep_percent = if self.settings.policy.keeps_share { KEPT_SHARE_PERCENT } else { 0 };
         (total * keep_percent / 100).div_ceil(pools.len().max(1))
     }
 
-    /// A machine against a shortage: an idle one of a pool that can do without, one that is switched off,
-    /// or one with the label that lasting work can leave.
+    /// Returns a machine to cover a shortage: an idle one of a pool with a surplus, one on standby,
+    /// or one with the label that its long-running tasks can leave.
     fn find_machine(
         &self,
         now: Now,
         shortage: &Shortage,
         pools: &mut BTreeMap<PoolName, PoolView>,
         standby: &mut Vec<MachineId>,
-        share: usize,
+        kept: usize,
     ) -> Option<MachineId> {
         let Shortage { pool: to, label, .. } = shortage;
         let fits = |machine: &MachineId| {
             let has_label = |label| self.labels_of(machine).contains(label);
             self.may_move(machine, to) && label.as_ref().is_none_or(has_label)
         };
-        // What needs a label can't wait for its pool's turn: no other machine will do.
-        let kept = if label.is_some() { share / 2 } else { share };
-        if let Some(machine) = self.take_idle(pools, to, kept, fits) {
+        // Tasks that require a label can't run on other machines, so pools keep a smaller share of
+        // them.
+        let kept = if label.is_some() { kept / 2 } else { kept };
+        if let Some(machine) = self.take_idle_machine(pools, to, kept, fits) {
             return Some(machine);
         }
-        if let Some(place) = standby.iter().position(fits) {
-            return Some(standby.swap_remove(place));
+        if let Some(position) = standby.iter().position(fits) {
+            return Some(standby.swap_remove(position));
         }
         let machine = self.machine_to_reclaim(now, pools, shortage, label.as_ref()?)?;
         let labels = self.labels_of(&machine);
@@ -106,16 +107,19 @@
         self.machines.listed.get(machine).map_or(&[], |info| &info.labels)
     }
 
-    /// Takes an idle machine from the pool that can best do without; each keeps `share` machines.
-    fn take_idle(
+    /// Takes an idle machine from the pool with the largest surplus. Each pool keeps `kept`
+    /// machines.
+    fn take_idle_machine(
         &self,
         pools: &mut BTreeMap<PoolName, PoolView>,
         to: &PoolName,
-        share: usize,
+        kept: usize,
         fits: impl Fn(&MachineId) -> bool,
     ) -> Option<MachineId> {
         let surplus = |pool: &PoolView| {
-            pool.up.saturating_sub(share.max(pool.needed() + SPARE_MACHINES)).min(pool.idle.len())
+            pool.up
+                .saturating_sub(kept.max(pool.needed_machines() + SPARE_MACHINES))
+                .min(pool.idle.len())
         };
         let mut donors: Vec<(usize, &mut PoolView)> = pools
             .iter_mut()
@@ -125,12 +129,12 @@
             .collect();
         donors.sort_by_key(|(surplus, _)| std::cmp::Reverse(*surplus));
         for (_, pool) in donors {
-            let place = pool
+            let position = pool
                 .idle
                 .iter()
                 .position(|machine| fits(machine) && pool.can_spare(self.labels_of(machine)));
-            let Some(place) = place else { continue };
-            let machine = pool.idle.swap_remove(place);
+            let Some(position) = position else { continue };
+            let machine = pool.idle.swap_remove(position);
             pool.up -= 1;
             pool.remove_machine_labels(self.labels_of(&machine));
             return Some(machine);
@@ -146,7 +150,7 @@
         self.services.get(pool).is_some_and(|service| service.is_standby)
     }
 
-    fn idle_standby(&self, now: Now) -> Vec<MachineId> {
+    fn free_standby_machines(&self, now: Now) -> Vec<MachineId> {
         let listed = self.machines.listed.values();
         listed
             .filter(|info| info.state == MachineState::Up && self.is_standby(&info.pool))
@@ -157,7 +161,7 @@
     }
 }
 
-/// The shortages of all pools, the greatest first.
+/// Returns the shortages of all pools, the greatest first.
 fn shortages_of(pools: &BTreeMap<PoolName, PoolView>, scarce: &[&Label]) -> Vec<Shortage> {
     let mut shortages = Vec::new();
     for (name, pool) in pools {
