--- a/crates/jackdawpier_fleet/src/fleet/maintenance.rs
+++ b/crates/jackdawpier_fleet/src/fleet/maintenance.rs
@@ -171,7 +171,7 @@
                 break;
             }
             let is_idle = load == 0;
-            let is_ready = || self.can_be_emptied(now, &machine, &rounds);
+            let is_ready = || self.can_be_vacated(now, &machine, &rounds);
             if !is_idle && (wanted == 0 || !is_ready()) {
                 continue;
             }
--- a/crates/jackdawpier_fleet/src/fleet/stops.rs
+++ b/crates/jackdawpier_fleet/src/fleet/stops.rs
@@ -1,5 +1,7 @@
-//! Orders to stop runs, each try of which is decided anew: what a step could spare when the first one left it may not be
-//! able to spare seconds later.
+//! Stop orders for runs.
+//!
+//! Whether an order may be sent is decided anew for each attempt: a task that its step could miss
+//! at the first attempt may be needed seconds later, when another one is away.
 //!
 //! See `docs/design/stops.md`.
 
@@ -14,68 +16,70 @@
     spec::{RunNumber, TaskKey},
 };
 
-/// What an executor didn't list this shortly before isn't at work yet, though it may have begun since: a start takes longer
-/// to be at full speed.
-const UNLISTED_LATELY: Duration = Duration::from_millis(400);
-/// An order to stop that wasn't answered may be carried out this much later: longer than executors hang.
+/// A run that its executor didn't list this recently isn't at full speed yet, even if it has
+/// started since: starting up takes longer.
+const RECENT_REPORT_AGE: Duration = Duration::from_millis(400);
+/// An unanswered stop order may still be carried out within this time, which is longer than
+/// executors hang.
 pub(super) const MAX_STOP_DELAY: Duration = Duration::from_secs(12);
 
-/// How an order to stop ended.
+/// Outcome of a stop order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopOutcome {
-    /// The run can't begin there any more and ends within the time that executors have for it.
+    /// The run can't start there any more, and ends within the stop timeout of executors.
     Taken,
-    /// Not taken; it is decided anew by the executor's next report.
+    /// The order wasn't taken. It is decided anew after the executor's next report.
     NotTaken,
 }
 
-/// What is known of a run of a long-running step when an order to stop it leaves, for the log.
+/// State of a run of a long-running step when a stop order for it is sent, for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopEvidence {
-    /// How long ago its executor last listed it; none if it never did.
+    /// Time since its executor last listed the run, or `None` if it never did.
     pub listed_ago: Option<Duration>,
-    /// Share of its full speed at that time, in percent.
+    /// Share of its full speed in that report, in percent.
     pub percent: u32,
-    /// Other tasks of its step that aren't settled at work.
+    /// Number of other tasks of its step that aren't stably at work.
     pub others_away: u32,
-    /// Tasks that its step may miss.
+    /// Number of tasks that its step may miss.
     pub may_miss: u32,
 }
 
 impl Fleet {
-    /// Whether an order to stop a run may leave now, asked right before each try.
+    /// Whether a stop order for a run may be sent now. Called right before each attempt.
     pub fn may_send_stop(&self, now: Now, executor: &str, key: &TaskKey, run: RunNumber) -> bool {
         let Some(job) = self.jobs.get(&key.job) else { return true };
         let Some(index) = job.index(key) else { return true };
         let task = &job.tasks[index];
         let is_there = task.phase.executor().is_some_and(|at| **at == *executor);
         if task.run != run || !is_there {
-            // Nobody wants this run.
+            // The run isn't the current one.
             return true;
         }
-        matches!(task.phase, Phase::Stopping { .. }) && self.can_end(now, job, index)
+        matches!(task.phase, Phase::Stopping { .. }) && self.may_end_now(now, job, index)
     }
 
-    /// Whether nobody misses a task if it ends now.
-    fn can_end(&self, now: Now, job: &Job, index: TaskIndex) -> bool {
+    /// Whether a task may end now without its step missing more tasks than it may.
+    fn may_end_now(&self, now: Now, job: &Job, index: TaskIndex) -> bool {
         let step = job.step(index);
         let is_bounded = job.may_go_on(index) && step.may_miss > 0;
         !is_bounded
             || self.other_tasks_away(now, job, index) < step.may_miss
-            || self.is_unlisted_lately(now, job, index)
+            || self.is_missing_in_recent_report(now, job, index)
     }
 
-    /// Whether a run wasn't there when its executor answered a moment ago.
-    fn is_unlisted_lately(&self, now: Now, job: &Job, index: TaskIndex) -> bool {
+    /// Whether a recent answer of the executor didn't list the run.
+    fn is_missing_in_recent_report(&self, now: Now, job: &Job, index: TaskIndex) -> bool {
         let task = &job.tasks[index];
         let executor = task.phase.executor().and_then(|id| self.executors.get(id));
         let reported_at = executor.and_then(Executor::heard_at);
         reported_at.is_some_and(|at| {
-            now.saturating_sub(at) < UNLISTED_LATELY && task.listed_at.is_none_or(|last| last < at)
+            now.saturating_sub(at) < RECENT_REPORT_AGE
+                && task.listed_at.is_none_or(|last| last < at)
         })
     }
 
-    /// An order to stop has ended.
+    /// Applies the outcome of a stop order.
     pub fn stop_ended(&mut self, now: Now, key: &TaskKey, run: RunNumber, end: StopOutcome) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let Some(index) = job.index(key) else { return };
@@ -92,14 +96,15 @@
         }
     }
 
-    /// Repeats the orders to stop at an executor that weren't taken and may leave now; asked after each of its reports.
+    /// Returns the untaken stop orders of an executor that may be sent again now. Called after each
+    /// of its reports.
     pub fn repeat_stops(&mut self, now: Now, id: &ExecutorId) -> Vec<Command> {
         let Some(executor) = self.executors.get(id) else { return Vec::new() };
         let is_due = |(job, index): &&TaskRef| {
             self.jobs.get(job).is_some_and(|job| {
                 let phase = &job.tasks[*index].phase;
                 matches!(phase, Phase::Stopping { order: StopOrder::Unanswered, .. })
-                    && self.can_end(now, job, *index)
+                    && self.may_end_now(now, job, *index)
             })
         };
         let due: Vec<TaskRef> = executor.tasks.iter().filter(is_due).cloned().collect();
@@ -115,7 +120,8 @@
         Some(Command::Stop { executor, task: key, run, reason: StopReason::Repeated })
     }
 
-    /// What is known of a run now; none if it isn't the present one of a task that lasts.
+    /// Returns the state of a run now, or `None` if it isn't the current run of a long-running
+    /// task.
     pub fn stop_evidence(&self, now: Now, key: &TaskKey, run: RunNumber) -> Option<StopEvidence> {
         let job = self.jobs.get(&key.job)?;
         let index = job.index(key).filter(|index| job.tasks[*index].run == run)?;
--- a/crates/jackdawpier_fleet/src/fleet/vacating.rs
+++ b/crates/jackdawpier_fleet/src/fleet/vacating.rs
@@ -1,8 +1,9 @@
-//! How a machine is emptied before it moves or is maintained, and when that is given up.
+//! Vacates machines before they are moved or maintained.
 //!
-//! What ends by itself gets time to; long-running tasks leave within what their steps may miss, one by
-//! one where they are many, and only while they find room elsewhere: stopping the last one that suits
-//! no other machine would take it away for as long as the machine is kept free.
+//! Tasks that end by themselves get time to finish. Long-running tasks are stopped within the
+//! number that their steps may miss, one by one where there are more, and only while another
+//! executor has room for them: a task that no other machine can run would be away for as long as
+//! the machine is kept free.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -19,29 +20,29 @@
     spec::StepSpec,
 };
 
-/// An unanswered order about a machine is repeated after this time.
-const REPEAT_ORDER: Duration = Duration::from_millis(600);
-/// What runs on a machine that is to be taken gets this long to end before it is cut short.
-const LONGEST_VACATING: Duration = Duration::from_secs(4);
-/// What runs on an executor counts as away once it hasn't answered for this long.
-const SILENT_AFTER: Duration = Duration::from_millis(1800);
-/// A long-running task counts as back once it has been reported at work for this long. What fails
-/// without an order counts only after the notice that operators grant, far longer than a silent
-/// executor takes to show.
-const SETTLED_AFTER: Duration = Duration::from_millis(400);
-/// A machine that is kept free without any task leaving it for this long takes work again: a task takes
-/// some two seconds to be at work elsewhere before the next may leave.
-const GIVE_UP_AFTER: Duration = Duration::from_secs(6);
-/// A long-running task that has waited this long may take a machine that is kept free.
-const REOPENED_AFTER: Duration = Duration::from_secs(2);
+/// Delay before an unanswered order about a machine is repeated.
+const ORDER_RETRY_INTERVAL: Duration = Duration::from_millis(600);
+/// Maximum time that tasks on a machine get to end before its order is sent all the same.
+const MAX_VACATING_TIME: Duration = Duration::from_secs(4);
+/// Tasks on an executor count as away once it hasn't answered for this long.
+const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(1800);
+/// A long-running task counts as back once it has been reported at work for this long. A failure
+/// that wasn't ordered counts against the step only after the notice period that operators grant,
+/// which is far longer than detecting an unresponsive executor takes.
+const STABLE_AFTER: Duration = Duration::from_millis(400);
+/// A machine that no task has left for this long accepts work again. A task takes about two seconds
+/// to be at work elsewhere before the next one may leave.
+const STALLED_AFTER: Duration = Duration::from_secs(6);
+/// A long-running task that has waited this long may use a machine that is being vacated.
+const REOPEN_FOR_WAIT: Duration = Duration::from_secs(2);
 
 impl Fleet {
     pub(super) fn begin_operation(&mut self, now: Now, machine: MachineId, work: MachineWork) {
         let executor = self.machines.listed.get(&machine).and_then(|info| info.executor.clone());
         let stage = Stage::Vacating { since: now };
         let not_before = self.machines.free_from(&machine);
-        let (lasting, others) = self.task_counts_on(&machine);
-        let tasks = lasting + others;
+        let (long_running, others) = self.task_counts_on(&machine);
+        let tasks = long_running + others;
         let errand = Errand {
             work,
             stage,
@@ -54,7 +55,7 @@
         self.machines.errands.insert(machine, errand);
     }
 
-    /// Numbers of long-running and other tasks on a machine.
+    /// Returns the numbers of long-running and of other tasks on a machine.
     pub(super) fn task_counts_on(&self, machine: &MachineId) -> (usize, usize) {
         let executor = self
             .machines
@@ -63,24 +64,26 @@
             .and_then(|info| info.executor.as_ref())
             .and_then(|id| self.executors.get(id));
         let Some(executor) = executor else { return (0, 0) };
-        let is_lasting = |task: &&crate::executor::TaskRef| {
+        let is_long_running = |task: &&crate::executor::TaskRef| {
             self.jobs.get(&task.0).is_some_and(|job| job.step(task.1).is_long_running)
         };
-        let lasting = executor.tasks.iter().filter(is_lasting).count();
-        (lasting, executor.tasks.len() - lasting)
+        let long_running = executor.tasks.iter().filter(is_long_running).count();
+        (long_running, executor.tasks.len() - long_running)
     }
 
-    /// Whether all long-running steps with tasks on a machine can spare those now.
+    /// Whether all long-running steps with tasks on a machine can miss them now, and the executor
+    /// on the machine is known.
     pub(super) fn can_lose_machine(&self, now: Now, machine: &MachineId) -> bool {
         let info = self.machines.listed.get(machine);
         let executor = info.and_then(|info| info.executor.as_ref());
         self.machines.knows_executor(machine)
             && executor.is_none_or(|id| self.can_lose_executor(now, id))
-            && (executor.is_some_and(|id| self.lives(now, id)) || !self.machines.may_be_occupied)
+            && (executor.is_some_and(|id| self.is_running_executor(now, id))
+                || !self.machines.may_be_occupied)
     }
 
-    /// Whether an executor has answered lately, so that it is the one that lives on its machine.
-    fn lives(&self, now: Now, id: &ExecutorId) -> bool {
+    /// Whether an executor has answered recently, which proves that it runs on its machine.
+    fn is_running_executor(&self, now: Now, id: &ExecutorId) -> bool {
         self.executors
             .get(id)
             .is_some_and(|executor| !executor.is_over && executor.is_responsive(now))
@@ -107,29 +110,29 @@
         })
     }
 
-    /// Tasks of a step that aren't settled at work.
+    /// Returns the number of tasks of a step that aren't stably at work.
     pub(super) fn tasks_away(&self, now: Now, job: &Job, slot: usize) -> u32 {
         let is_away = |index: &TaskIndex| !self.is_at_work(now, &job.tasks[*index]);
         job.tasks_of(slot).filter(is_away).count() as u32
     }
 
-    /// The same, without one of its tasks.
+    /// Like [`Self::tasks_away`], without one of the tasks.
     pub(super) fn other_tasks_away(&self, now: Now, job: &Job, index: TaskIndex) -> u32 {
         let itself = u32::from(!self.is_at_work(now, &job.tasks[index]));
         self.tasks_away(now, job, job.slot(index)) - itself
     }
 
-    /// Whether a task is settled at work, as far as its executor still answers.
+    /// Whether a task has been at work for long enough on an executor that still answers.
     fn is_at_work(&self, now: Now, task: &Task) -> bool {
         let Some(id) = task.phase.executor() else { return false };
         let heard_at = self.executors.get(id).and_then(Executor::heard_at);
-        let is_heard = heard_at.is_some_and(|at| now.saturating_sub(at) < SILENT_AFTER);
+        let is_responsive = heard_at.is_some_and(|at| now.saturating_sub(at) < UNRESPONSIVE_AFTER);
         let since = task.at_work_since;
-        is_heard
+        is_responsive
             && now >= task.may_stop_until
             && !self.machines.is_leaving(id)
             && !self.machines.holds_executor(now, id)
-            && since.is_some_and(|since| now.saturating_sub(since) >= SETTLED_AFTER)
+            && since.is_some_and(|since| now.saturating_sub(since) >= STABLE_AFTER)
     }
 
     pub(super) fn order_vacated_machines(&mut self, now: Now) {
@@ -149,16 +152,16 @@
                 Stage::Vacating { since } => self.is_vacated(now, &machine, since),
                 Stage::Ordered { at, is_under_way } => {
                     !is_under_way
-                        && now >= at + REPEAT_ORDER
+                        && now >= at + ORDER_RETRY_INTERVAL
                         && self.can_lose_machine(now, &machine)
                 }
                 Stage::Away { .. } => false,
             };
             if !is_due || !take_slot(&mut slots, &self.machines.errands[&machine]) {
-                self.thin_out(now, &machine, &rounds);
+                self.evict_one_task(now, &machine, &rounds);
                 continue;
             }
-            self.lose_long_running(&machine);
+            self.mark_long_running_away(&machine);
             let errand = self.machines.errands.get_mut(&machine).expect("it was read above");
             errand.stage = Stage::Ordered { at: now, is_under_way: true };
             let work = errand.work.clone();
@@ -166,7 +169,8 @@
         }
     }
 
-    /// Whether an order about a machine may leave now, asked right before: it may have been held up since it was chosen.
+    /// Whether an order about a machine may be sent now. Called right before it is sent, since it
+    /// may have been delayed after the decision.
     pub fn may_send_machine_order(&self, now: Now, order: &MachineOrder) -> bool {
         let errand = self.machines.errands.get(&order.machine);
         let is_wanted = errand.is_some_and(|errand| {
@@ -176,11 +180,12 @@
         is_wanted && self.can_lose_machine(now, &order.machine)
     }
 
-    /// Stops one long-running task on a machine that can't be taken yet, so that it can be later: one
-    /// of a step of which more run there than it may miss, or, once nothing else runs there, any that
-    /// its step can spare. A machine holds tasks of many steps, which seldom can all spare one at the
-    /// same moment; in a wave of 144 of 350 machines the last tenth waited for that.
-    fn thin_out(
+    /// Stops one long-running task on a machine that can't be taken yet, so that it can be later:
+    /// one of a step of which more tasks run there than it may miss, or, once only long-running
+    /// tasks are left, any that its step can miss. A machine runs tasks of many steps, which can
+    /// seldom all miss one at the same moment: waiting for that blocked the last tenth of a wave of
+    /// 144 of 350 machines.
+    fn evict_one_task(
         &mut self,
         now: Now,
         machine: &MachineId,
@@ -191,27 +196,27 @@
             return;
         }
         let (_, others) = self.task_counts_on(machine);
-        let mut task = self.crowded_task(now, machine, rounds);
+        let mut task = self.excess_task(now, machine, rounds);
         if task.is_none() && others == 0 && !self.can_lose_machine(now, machine) {
-            task = self.task_to_spare(now, machine, rounds, |_, _| true);
+            task = self.evictable_task(now, machine, rounds, |_, _| true);
         }
         if let Some(task) = task {
             self.stop_task(now, &task, StopReason::MachineTaken);
         }
     }
 
-    /// Whether a busy machine can be emptied without harm: its long-running tasks can be spared at once,
-    /// or one of those that are too many for that finds room elsewhere.
-    pub(super) fn can_be_emptied(
+    /// Whether a busy machine can be vacated within the limits of its steps: they can miss all its
+    /// long-running tasks at once, or one task of a step with too many there has room elsewhere.
+    pub(super) fn can_be_vacated(
         &self,
         now: Now,
         machine: &MachineId,
         rounds: &BTreeMap<ServiceName, PlacementRound>,
     ) -> bool {
-        self.can_lose_machine(now, machine) || self.crowded_task(now, machine, rounds).is_some()
+        self.can_lose_machine(now, machine) || self.excess_task(now, machine, rounds).is_some()
     }
 
-    /// Whether an executor that takes work, other than the task's own, has room for it.
+    /// Whether an executor other than the task's own accepts work and has room for the task.
     pub(super) fn has_room_elsewhere(
         &self,
         (id, index): &TaskRef,
@@ -227,24 +232,24 @@
         })
     }
 
-    /// A task of a step of which more run on a machine than it may miss.
-    fn crowded_task(
+    /// Returns a task of a step of which more tasks run on a machine than it may miss.
+    fn excess_task(
         &self,
         now: Now,
         machine: &MachineId,
         rounds: &BTreeMap<ServiceName, PlacementRound>,
     ) -> Option<TaskRef> {
-        self.task_to_spare(now, machine, rounds, |step, here| here > step.may_miss)
+        self.evictable_task(now, machine, rounds, |step, here| here > step.may_miss)
     }
 
-    /// A long-running task on a machine that its step can spare now and that has room elsewhere, of a
-    /// step that `suits` by itself and by the number of its tasks there.
-    fn task_to_spare(
+    /// Returns a long-running task on a machine that its step can miss now and that has room
+    /// elsewhere. `is_allowed` filters by the step and the number of its tasks there.
+    fn evictable_task(
         &self,
         now: Now,
         machine: &MachineId,
         rounds: &BTreeMap<ServiceName, PlacementRound>,
-        suits: impl Fn(&StepSpec, u32) -> bool,
+        is_allowed: impl Fn(&StepSpec, u32) -> bool,
     ) -> Option<TaskRef> {
         let id = self.machines.listed.get(machine)?.executor.as_ref()?;
         let executor = self.executors.get(id)?;
@@ -256,7 +261,7 @@
             let indices = job.tasks_of(*slot);
             let step = job.step(indices.start);
             let is_bounded = step.is_long_running && step.may_miss > 0;
-            if !is_bounded || !suits(step, here) || job.is_over() {
+            if !is_bounded || !is_allowed(step, here) || job.is_over() {
                 return None;
             }
             if self.tasks_away(now, job, *slot) >= step.may_miss {
@@ -271,44 +276,45 @@
         })
     }
 
-    /// Lets machines take work again that are kept free to no avail: nothing leaves them any more.
+    /// Cancels the operations of vacating machines that no task leaves any more, so that they
+    /// accept work again.
     fn cancel_stalled_operations(&mut self, now: Now) {
         let machines: Vec<MachineId> = self.machines.errands.keys().cloned().collect();
         for machine in machines {
-            let (lasting, others) = self.task_counts_on(&machine);
+            let (long_running, others) = self.task_counts_on(&machine);
             let errand = self.machines.errands.get_mut(&machine).expect("just listed");
-            if lasting + others < errand.tasks {
+            if long_running + others < errand.tasks {
                 errand.progress_at = now;
             }
-            errand.tasks = lasting + others;
-            let is_stuck = now.saturating_sub(errand.progress_at) >= GIVE_UP_AFTER;
+            errand.tasks = long_running + others;
+            let is_stuck = now.saturating_sub(errand.progress_at) >= STALLED_AFTER;
             if is_stuck && matches!(errand.stage, Stage::Vacating { .. }) {
                 self.machines.errands.remove(&machine);
             }
         }
     }
 
-    /// Lets one machine that is kept free take work again, if a long-running task has waited for long and
+    /// Cancels the operation of one vacating machine if a long-running task has waited for long and
     /// could run there.
     pub(super) fn reopen_machine(&mut self, now: Now) {
         let waits = |job: &Job| {
             let is_long = |index: &&TaskIndex| {
                 job.step(**index).is_long_running
                     && job.tasks[**index].phase == Phase::Waiting
-                    && now.saturating_sub(job.tasks[**index].waits_since) >= REOPENED_AFTER
+                    && now.saturating_sub(job.tasks[**index].waits_since) >= REOPEN_FOR_WAIT
             };
             job.startable.iter().find(is_long).copied()
         };
         let open = self.open_jobs.values().flatten().filter_map(|id| self.jobs.get(id));
         let mut waiting = open.filter_map(|job| Some((job, waits(job)?)));
-        let machine = waiting.find_map(|(job, index)| self.reopenable(job, index));
+        let machine = waiting.find_map(|(job, index)| self.reopenable_machine(job, index));
         if let Some(machine) = machine {
             self.machines.errands.remove(&machine);
         }
     }
 
-    /// A machine that is kept free, not ordered yet, and whose executor could run a task.
-    fn reopenable(&self, job: &Job, index: TaskIndex) -> Option<MachineId> {
+    /// Returns a vacating machine whose executor has room for a task.
+    fn reopenable_machine(&self, job: &Job, index: TaskIndex) -> Option<MachineId> {
         let service = &self.queues.get(&job.queue)?.service;
         let could_run = |(machine, errand): &(&MachineId, &Errand)| {
             let executor = errand.executor.as_ref().and_then(|id| self.executors.get(id));
@@ -321,12 +327,12 @@
 
     fn is_vacated(&self, now: Now, machine: &MachineId, since: Now) -> bool {
         let (_, others) = self.task_counts_on(machine);
-        let is_empty = others == 0 || now >= since + LONGEST_VACATING;
+        let is_empty = others == 0 || now >= since + MAX_VACATING_TIME;
         is_empty && self.can_lose_machine(now, machine)
     }
 
-    /// Long-running tasks on a machine count as away from the moment that its order leaves.
-    fn lose_long_running(&mut self, machine: &MachineId) {
+    /// Marks the long-running tasks on a machine as away from the moment that its order is sent.
+    fn mark_long_running_away(&mut self, machine: &MachineId) {
         let Some(id) = self.machines.listed.get(machine).and_then(|info| info.executor.clone())
         else {
             return;
@@ -340,8 +346,8 @@
     }
 }
 
-/// Whether the order about a machine may leave by the bound of its wave; it is counted if so. One that has left and
-/// wasn't answered counts as away already.
+/// Takes a slot of the wave's bound on machines away and returns whether there was one. An
+/// operation whose order was already sent needs no further slot.
 fn take_slot(slots: &mut BTreeMap<WaveNumber, usize>, errand: &Errand) -> bool {
     let MachineWork::Maintain(number) = errand.work else { return true };
     if errand.is_away() {
--- a/crates/jackdawpier_fleet/src/fleet/waits.rs
+++ b/crates/jackdawpier_fleet/src/fleet/waits.rs
@@ -1,7 +1,7 @@
-//! Why work waits, for operators who ask after a job that doesn't begin.
+//! Reasons why tasks wait, for operators who look into a job that doesn't start.
 //!
-//! Each executor of the job's service is counted under the first thing that keeps it from taking the
-//! task, in the order in which placing asks. See `docs/OPERATIONS.md`.
+//! Each executor of the job's service is counted under the first reason that keeps it from running
+//! the task, in the order in which placement checks them. See `docs/OPERATIONS.md`.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -14,60 +14,61 @@
     spec::TaskKey,
 };
 
-/// A task that has been waiting for an executor.
+/// A task that waits for an executor.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WaitingTask {
     /// The task.
     pub task: TaskKey,
-    /// How long it has been startable.
+    /// Time since it became startable.
     pub waited: Duration,
-    /// Its client account has as much running as its cap allows.
+    /// Whether the cap of its client account leaves no room for it.
     pub is_capped: bool,
-    /// What keeps it from the executors of its service.
+    /// Reasons that keep it from the executors of its service.
     pub obstacles: Obstacles,
 }
 
-/// Executors of a service by the first thing that keeps a task from them.
+/// Number of executors of a service by the first reason that keeps a task from them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Obstacles {
-    /// Nothing known: it is placed in the next round, or waits for data nearby or a ticket.
+    /// No reason known: the task is placed in the next round, or waits for room near its data or
+    /// for a ticket.
     pub open: usize,
-    /// They leave, or the registry doesn't name them any more.
+    /// Leaving, or no longer in the registry.
     pub leaving: usize,
-    /// They haven't answered lately, or not yet under this ownership.
+    /// Without a recent answer, or without any to this owner.
     pub silent: usize,
-    /// They refused work or failed it, and are left out for a while.
+    /// Excluded for a while after refusing or failing tasks.
     pub left_out: usize,
-    /// A task that may be what executors crash of has just started there.
+    /// A suspect task has just started there in isolation.
     pub watched: usize,
-    /// Their machines are about to be moved or maintained.
+    /// The machine is about to be moved or maintained.
     pub vacating: usize,
-    /// They lack the label, or hold as many tasks of the step as it allows.
+    /// Without the required label, or at the limit on tasks of the step per executor.
     pub unsuited: usize,
-    /// They have too little room now.
+    /// Without enough free room.
     pub full: usize,
 }
 
 impl Fleet {
-    /// The tasks that have waited longest, one a job, of jobs that have nothing running and have waited
-    /// for at least `longer_than`; at most `most`.
+    /// Returns the longest waiting task of each job that has nothing running and has waited for at
+    /// least `longer_than`. Returns at most `limit` tasks, the longest waiting first.
     pub fn longest_waiting_tasks(
         &self,
         now: Now,
         longer_than: Duration,
-        most: usize,
+        limit: usize,
     ) -> Vec<WaitingTask> {
         let mut waiting: Vec<(Now, &Job, TaskIndex)> = self
             .open_jobs
             .values()
             .flatten()
             .filter_map(|id| self.jobs.get(id))
-            .filter_map(|job| longest_waiting(job).map(|(since, index)| (since, job, index)))
+            .filter_map(|job| longest_waiting_task(job).map(|(since, index)| (since, job, index)))
             .filter(|(since, ..)| now.saturating_sub(*since) >= longer_than)
             .collect();
         waiting.sort_unstable_by_key(|(since, job, _)| (*since, job.id.clone()));
         let vacating: BTreeSet<&ExecutorId> = self.machines.vacating().collect();
-        let shown = waiting.into_iter().take(most);
+        let shown = waiting.into_iter().take(limit);
         shown
             .map(|(since, job, index)| WaitingTask {
                 task: job.key(index),
@@ -97,7 +98,7 @@
 }
 
 impl Obstacles {
-    /// The count to which an executor belongs.
+    /// Returns the count that an executor belongs to.
     fn of(
         &mut self,
         now: Now,
@@ -106,8 +107,8 @@
         job: &Job,
         index: TaskIndex,
     ) -> &mut usize {
-        let is_open = executor.info.as_ref().is_some_and(|info| !info.is_draining);
-        if !is_open || !executor.is_listed || executor.is_over {
+        let is_active = executor.info.as_ref().is_some_and(|info| !info.is_draining);
+        if !is_active || !executor.is_listed || executor.is_over {
             &mut self.leaving
         } else if !executor.is_responsive(now) {
             &mut self.silent
@@ -127,11 +128,13 @@
     }
 }
 
-/// The task of a job that has waited longest, if none of its tasks runs or it lasts.
-fn longest_waiting(job: &Job) -> Option<(Now, TaskIndex)> {
-    let is_lasting = job.startable.front().is_some_and(|&index| job.step(index).is_long_running);
+/// Returns the longest waiting task of a job, if the job has no running task or the task is
+/// long-running.
+fn longest_waiting_task(job: &Job) -> Option<(Now, TaskIndex)> {
+    let is_long_running =
+        job.startable.front().is_some_and(|&index| job.step(index).is_long_running);
     let has_running = job.tasks.iter().any(|task| task.phase.executor().is_some());
-    if has_running && !is_lasting {
+    if has_running && !is_long_running {
         return None;
     }
     let waiting = job.startable.iter().filter(|&&index| job.tasks[index].phase == Phase::Waiting);
