--- a/crates/jackdawpier_capacity/src/counts.rs
+++ b/crates/jackdawpier_capacity/src/counts.rs
@@ -1,10 +1,10 @@
-//! Counts by failure domain with the largest count at hand.
+//! Instance counts by failure domain, with fast access to the largest count.
 
 use std::collections::{BTreeMap, HashMap};
 
 use crate::DomainIx;
 
-/// A multiset of domains that knows its largest count in logarithmic time.
+/// Multiset of domains. Updates take logarithmic time, and so does a query for the largest count.
 #[derive(Debug, Clone, Default)]
 pub struct DomainCounts {
     counts: HashMap<DomainIx, u32>,
@@ -12,17 +12,17 @@
 }
 
 impl DomainCounts {
-    /// Count of one domain.
+    /// Returns the count of one domain.
     pub fn get(&self, domain: DomainIx) -> u32 {
         self.counts.get(&domain).copied().unwrap_or(0)
     }
 
-    /// Largest count of any domain.
+    /// Returns the largest count of any domain.
     pub fn largest(&self) -> u32 {
         self.domains_by_count.last_key_value().map_or(0, |(count, _)| *count)
     }
 
-    /// Domains with the largest count.
+    /// Returns the number of domains that have the largest count.
     pub fn domains_at_largest(&self) -> u32 {
         self.domains_by_count.last_key_value().map_or(0, |(_, domains)| *domains)
     }
@@ -31,24 +31,30 @@
     pub fn add(&mut self, domain: DomainIx) {
         let count = self.counts.entry(domain).or_default();
         *count += 1;
-        let now = *count;
-        self.shift(now - 1, now);
+        let new_count = *count;
+        self.update_histogram(new_count - 1, new_count);
     }
 
-    /// Takes one from a domain that has at least one.
+    /// Subtracts one from a domain.
+    ///
+    /// Panics if the domain's count is zero.
     pub fn remove(&mut self, domain: DomainIx) {
-        let count = self.counts.get_mut(&domain).expect("only what was added is removed");
+        let count =
+            self.counts.get_mut(&domain).expect("remove() needs a domain with a positive count");
         *count -= 1;
-        let now = *count;
-        if now == 0 {
+        let new_count = *count;
+        if new_count == 0 {
             self.counts.remove(&domain);
         }
-        self.shift(now + 1, now);
+        self.update_histogram(new_count + 1, new_count);
     }
 
-    fn shift(&mut self, from: u32, to: u32) {
+    fn update_histogram(&mut self, from: u32, to: u32) {
         if from > 0 {
-            let domains = self.domains_by_count.get_mut(&from).expect("the count was noted");
+            let domains = self
+                .domains_by_count
+                .get_mut(&from)
+                .expect("every positive count is in the histogram");
             *domains -= 1;
             if *domains == 0 {
                 self.domains_by_count.remove(&from);
--- a/crates/jackdawpier_capacity/src/demand.rs
+++ b/crates/jackdawpier_capacity/src/demand.rs
@@ -1,26 +1,26 @@
-//! The learned pattern of demand: by the quarter of an hour, apart for quiet and ordinary days.
+//! Learned daily demand pattern in slots of 15 minutes, separate for quiet and ordinary days.
 //!
-//! Mornings come at the same time each day, nights and holidays are quiet. Each slot keeps a
-//! smoothed mean and spread; today's level against the pattern corrects the forecast. Nothing of
-//! it is declared. See `docs/design/demand.md`.
+//! Each slot keeps an exponentially smoothed mean and mean deviation. A factor that compares
+//! today's demand with the pattern scales the forecast. Everything is learned; no pattern is
+//! configured. See `docs/design/demand.md`.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Slots of a day.
+/// Number of slots in a day.
 pub const SLOTS_PER_DAY: usize = 96;
 /// Length of a slot.
 pub const SLOT_LENGTH: Duration = Duration::from_secs(15 * 60);
 const DAY: Duration = Duration::from_secs(24 * 3600);
-/// A hundredth of an instance is rounding and asks for no whole one.
-const ROUNDING: f64 = 0.01;
-/// Weight of a new day in the pattern.
-const SMOOTHING: f64 = 0.3;
-/// Weight of a new observation in today's correction.
-const TODAY_SMOOTHING: f64 = 0.2;
+/// Excess below this is treated as a rounding error and doesn't add a whole instance.
+const ROUNDING_TOLERANCE_INSTANCES: f64 = 0.01;
+/// Smoothing factor of a slot, applied once a day.
+const SLOT_SMOOTHING: f64 = 0.3;
+/// Smoothing factor of the ratio of today's demand to the pattern, applied once a slot.
+const TODAY_RATIO_SMOOTHING: f64 = 0.2;
 
-/// Kinds of days with a pattern of their own.
+/// Kind of day; each kind has its own pattern.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DayKind {
     /// A working day.
@@ -32,36 +32,38 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct Slot {
     mean: f64,
-    spread: f64,
+    #[serde(rename = "spread")]
+    deviation: f64,
     days: u32,
 }
 
-/// Demand of one pool, in instances.
+/// Learned demand of one pool, in instances.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct DemandPattern {
     ordinary: Vec<Slot>,
     quiet: Vec<Slot>,
-    today: f64,
+    #[serde(rename = "today")]
+    today_ratio: f64,
     peak: f64,
 }
 
-fn slot_of(time: Duration) -> usize {
+fn slot_index(time: Duration) -> usize {
     ((time.as_secs() % DAY.as_secs()) / SLOT_LENGTH.as_secs()) as usize
 }
 
 impl DemandPattern {
-    /// Returns a pattern that assumes the declared peak at all times, until it has learned.
+    /// Returns a pattern that expects the declared peak in every slot that has no observation yet.
     pub fn new(peak: u32) -> Self {
-        let slot = Slot { mean: f64::from(peak), spread: 0.0, days: 0 };
+        let slot = Slot { mean: f64::from(peak), deviation: 0.0, days: 0 };
         Self {
             ordinary: vec![slot.clone(); SLOTS_PER_DAY],
             quiet: vec![slot; SLOTS_PER_DAY],
-            today: 1.0,
+            today_ratio: 1.0,
             peak: f64::from(peak),
         }
     }
 
-    /// Follows a declared peak that was changed.
+    /// Updates the declared peak.
     pub fn set_peak(&mut self, peak: u32) {
         self.peak = f64::from(peak);
     }
@@ -73,30 +75,30 @@
         }
     }
 
-    /// Learns the demand of a slot, at `time` since some midnight.
+    /// Records the demand of the slot at `time`, which counts from an arbitrary midnight.
     pub fn observe(&mut self, time: Duration, kind: DayKind, demand: f64) {
         let slots = match kind {
             DayKind::Ordinary => &mut self.ordinary,
             DayKind::Quiet => &mut self.quiet,
         };
-        let slot = &mut slots[slot_of(time)];
+        let slot = &mut slots[slot_index(time)];
         if slot.days > 0 {
             let ratio = (demand / slot.mean.max(0.01)).clamp(0.5, 2.0);
-            self.today += (ratio - self.today) * TODAY_SMOOTHING;
+            self.today_ratio += (ratio - self.today_ratio) * TODAY_RATIO_SMOOTHING;
         }
         let error = demand - slot.mean;
         if slot.days == 0 {
             slot.mean = demand;
-            slot.spread = demand * 0.05;
+            slot.deviation = demand * 0.05;
         } else {
-            slot.mean += error * SMOOTHING;
-            slot.spread += (error.abs() - slot.spread) * SMOOTHING;
+            slot.mean += error * SLOT_SMOOTHING;
+            slot.deviation += (error.abs() - slot.deviation) * SLOT_SMOOTHING;
         }
         slot.days += 1;
     }
 
-    /// The largest demand expected between `from` and `until`, in whole instances, with `safety_factor`
-    /// spreads on top of the mean.
+    /// Returns the largest demand expected between `from` and `until`, in whole instances:
+    /// `safety_factor` mean deviations above the mean, but never above the declared peak.
     pub fn max_expected(
         &self,
         from: Duration,
@@ -105,7 +107,7 @@
         safety_factor: f64,
     ) -> u32 {
         let slots = self.slots(kind);
-        let (first, last) = (slot_of(from), slot_of(until));
+        let (first, last) = (slot_index(from), slot_index(until));
         let count = (last + SLOTS_PER_DAY - first) % SLOTS_PER_DAY;
         let largest = (0..=count)
             .map(|step| &slots[(first + step) % SLOTS_PER_DAY])
@@ -113,10 +115,10 @@
                 if slot.days == 0 {
                     self.peak
                 } else {
-                    slot.mean * self.today + slot.spread * safety_factor
+                    slot.mean * self.today_ratio + slot.deviation * safety_factor
                 }
             })
             .fold(0.0, f64::max);
-        (largest.min(self.peak) - ROUNDING).ceil() as u32
+        (largest.min(self.peak) - ROUNDING_TOLERANCE_INSTANCES).ceil() as u32
     }
 }
--- a/crates/jackdawpier_capacity/src/escrow.rs
+++ b/crates/jackdawpier_capacity/src/escrow.rs
@@ -1,36 +1,37 @@
-//! Availability budgets that hold across several holders.
+//! Availability budgets shared by several holders without coordination (escrow).
 //!
-//! A class's budget is split into allowances, one for each holder's cell. An allowance is spent
-//! before a step starts and given back after it ended; allowances move between cells in two
-//! writes, first out of the giver's record and then into the taker's. A cut in between leaves an
-//! allowance in transit, never a doubled one. See `docs/design/escrow.md`.
+//! A class's budget is split into allowances, one per holder, each stored in the holder's cell. An
+//! allowance is spent before a maintenance step starts and refunded after the step has ended. A
+//! transfer between holders takes two durable writes: the sender's record is debited first, the
+//! receiver's credited second. A crash between the two leaves the transfer pending and never
+//! duplicates it. See `docs/design/escrow.md`.
 
 use std::collections::BTreeMap;
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// Identity of a transfer, chosen by its giver.
+/// Id of a transfer, chosen by its sender.
 pub type TransferId = u64;
 
-/// The allowance record of one holder for one class; stored in its cell.
+/// Allowance of one holder for one class, as stored in the holder's cell.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Allowance {
-    /// Instances that this holder may take out.
+    /// Instances that this holder may take out of service.
     pub granted: u32,
-    /// Instances that it has taken out.
+    /// Instances that it has taken out of service, plus failed ones.
     pub spent: u32,
-    /// Transfers given away whose arrival is not confirmed yet.
+    /// Sent transfers whose receipt isn't confirmed yet.
     pub leaving: BTreeMap<TransferId, u32>,
-    /// Transfers taken in, so that a repeat is recognised.
+    /// Received transfers, kept to detect duplicates.
     pub arrived: BTreeMap<TransferId, u32>,
 }
 
-/// An allowance can't be changed as asked.
+/// Error of an operation on an [`Allowance`].
 #[derive(Debug, Display, Error, Clone, Copy, PartialEq, Eq)]
 pub enum EscrowError {
-    /// Everything granted is spent.
-    #[display("the allowance is spent")]
+    /// The remaining allowance is too small.
+    #[display("the allowance is exhausted")]
     Exhausted,
 }
 
@@ -40,12 +41,12 @@
         Self { granted, ..Self::default() }
     }
 
-    /// Instances that may still be taken out.
+    /// Returns the number of instances that may still be taken out of service.
     pub fn remaining(&self) -> u32 {
         self.granted.saturating_sub(self.spent)
     }
 
-    /// Spends one, before a step starts.
+    /// Spends one instance; call it before a maintenance step starts.
     pub fn spend(&mut self) -> Result<(), EscrowError> {
         if self.remaining() == 0 {
             return Err(EscrowError::Exhausted);
@@ -54,17 +55,18 @@
         Ok(())
     }
 
-    /// Charges an unplanned failure first: it counts even beyond what is granted.
+    /// Charges an unplanned failure, even if that exceeds the granted amount.
     pub fn charge_failure(&mut self) {
         self.spent += 1;
     }
 
-    /// Gives one back, after a step ended or a failed instance returned.
+    /// Refunds one instance after a step has ended or a failed instance has recovered.
     pub fn refund(&mut self) {
         self.spent = self.spent.saturating_sub(1);
     }
 
-    /// Takes `count` out for another holder. To be durable before [`Allowance::receive`] is tried.
+    /// Debits `count` for another holder. The change must be durable before the receiver calls
+    /// [`Allowance::receive`].
     pub fn send(&mut self, transfer: TransferId, count: u32) -> Result<(), EscrowError> {
         if self.remaining() < count {
             return Err(EscrowError::Exhausted);
@@ -74,14 +76,14 @@
         Ok(())
     }
 
-    /// Takes a transfer in; a repeat changes nothing.
+    /// Credits a transfer; a duplicate changes nothing.
     pub fn receive(&mut self, transfer: TransferId, count: u32) {
         if self.arrived.insert(transfer, count).is_none() {
             self.granted += count;
         }
     }
 
-    /// Forgets a transfer whose arrival is durable.
+    /// Removes a sent transfer once its receipt is durable.
     pub fn confirm(&mut self, transfer: TransferId) {
         self.leaving.remove(&transfer);
     }
--- a/crates/jackdawpier_capacity/src/explain.rs
+++ b/crates/jackdawpier_capacity/src/explain.rs
@@ -1,4 +1,4 @@
-//! "Why is this capacity held back": the buffer of a pool, taken apart.
+//! Breakdown of a pool's buffer, which answers why its capacity is held back.
 
 use derive_more::Display;
 use jackdawpier_settings::declaration::Domain;
@@ -6,32 +6,32 @@
 
 use crate::fleet::Pool;
 
-/// A pool against its target.
+/// State of a pool compared with its target.
 #[derive(Debug, Display, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[display(
     "have {have}, need {need}; {buffer} held back so that {left_after_loss} are left after the loss \
      of the worst {survive:?} ({worst_loss}); may fall short by {may_lose}; margin {margin}"
 )]
 pub struct Explanation {
-    /// Instances that take work.
+    /// Instances that accept work.
     pub have: u32,
     /// Instances needed.
     pub need: u32,
-    /// Instances beyond the need.
+    /// Instances in excess of the need.
     pub buffer: u32,
-    /// Failure domain that is survived.
+    /// Kind of failure domain whose loss the pool must survive.
     pub survive: Domain,
-    /// Instances lost with the worst such domain.
+    /// Instances in the largest domain of that kind.
     pub worst_loss: u32,
-    /// Instances left after that loss.
+    /// Instances that remain after the loss of that domain.
     pub left_after_loss: u32,
-    /// Instances by which the pool may fall short.
+    /// Tolerated shortfall after such a loss, in instances.
     pub may_lose: u32,
-    /// Instances beyond what the target asks for; negative if it would not be kept.
+    /// Instances in excess of the target; negative if the target isn't met.
     pub margin: i64,
 }
 
-/// Explains a pool.
+/// Returns the breakdown of a pool.
 pub fn explain(pool: &Pool) -> Explanation {
     let have = pool.serving.total();
     let worst_loss = pool.serving.worst_loss(pool.target.survive);
@@ -47,23 +47,24 @@
     }
 }
 
-/// The fewest instances that survive the loss of one of `domains` equal domains.
+/// Returns the smallest number of instances that still covers `need`, less `may_lose`, after the
+/// loss of one of `domain_count` equal domains with at most `domain_size` instances each.
 pub fn min_instances(
     need: u32,
     may_lose: u32,
-    domains: u32,
+    domain_count: u32,
     survive: Domain,
     domain_size: u32,
 ) -> u32 {
-    let mut size = need;
+    let mut instances = need;
     loop {
         let worst = match survive {
-            Domain::Instance => size.min(1),
-            _ => size.div_ceil(domains.max(1)).min(domain_size.max(1)),
+            Domain::Instance => instances.min(1),
+            _ => instances.div_ceil(domain_count.max(1)).min(domain_size.max(1)),
         };
-        if size - worst + may_lose >= need || domains <= 1 {
-            return size;
+        if instances - worst + may_lose >= need || domain_count <= 1 {
+            return instances;
         }
-        size += 1;
+        instances += 1;
     }
 }
--- a/crates/jackdawpier_capacity/src/fleet.rs
+++ b/crates/jackdawpier_capacity/src/fleet.rs
@@ -1,7 +1,7 @@
-//! The fleet: which instance stands where, in which pool, and in which phase.
+//! The fleet's state: location, pool and phase of every instance.
 //!
-//! An instance has one pool field, so it can't be in two pools; a move is a change of that field
-//! after its work was drained.
+//! An instance has one pool field, so it can't be in two pools; a move changes that field after the
+//! instance has drained.
 
 use std::collections::BTreeSet;
 
@@ -10,7 +10,7 @@
 
 use crate::{DomainIx, InstanceIx, PoolIx, counts::DomainCounts};
 
-/// Where an instance stands.
+/// Location of an instance in the failure domains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Location {
     /// Availability zone.
@@ -22,7 +22,7 @@
 }
 
 impl Location {
-    /// The domain of this kind that the location belongs to; none for the instance itself.
+    /// Returns the domain of this kind that contains the location; `None` for the instance itself.
     pub fn domain(&self, kind: Domain) -> Option<DomainIx> {
         match kind {
             Domain::Instance => None,
@@ -33,17 +33,17 @@
     }
 }
 
-/// Phases of an instance.
+/// Phase of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Phase {
     /// In no pool, ready to be moved into one.
     Free,
-    /// In a pool and taking work.
+    /// In a pool and accepting work.
     Serving,
-    /// In a pool, finishing its work before it changes pools or is maintained.
+    /// In a pool, finishing its work before a move or maintenance.
     Draining,
-    /// Being set up for its pool; no work yet.
+    /// Being set up for its pool; accepts no work yet.
     Warming,
     /// Out for maintenance.
     InMaintenance,
@@ -54,32 +54,32 @@
 /// One instance.
 #[derive(Debug, Clone)]
 pub struct Instance {
-    /// Where it stands.
+    /// Location in the failure domains.
     pub location: Location,
     /// The pool that it belongs to, if any.
     pub pool: Option<PoolIx>,
     /// Its phase.
     pub phase: Phase,
-    /// Whether a wave still has to take it out.
+    /// Whether a running wave still has to maintain it.
     pub awaits_maintenance: bool,
 }
 
-/// What a pool must keep.
+/// Capacity that a pool must keep.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PoolTarget {
     /// Instances that its classes need now.
     pub need: u32,
-    /// Instances that they might need before a maintenance step ends.
+    /// Upper estimate of that need until a maintenance step that starts now has ended.
     pub cautious_need: u32,
-    /// Instances by which it may fall short.
+    /// Tolerated shortfall after the loss of a failure domain, in instances.
     pub may_lose: u32,
-    /// Failure domain whose loss it survives.
+    /// Kind of failure domain whose loss it must survive.
     pub survive: Domain,
 }
 
 impl PoolTarget {
-    /// Instances that `spread` has beyond what the target asks for after the loss of the worst
-    /// domain; negative if it would fall short.
+    /// Returns the instances of `spread` in excess of the target, the loss of the largest domain
+    /// included; negative if the target isn't met.
     pub fn margin(&self, spread: &DomainSpread) -> i64 {
         let now = i64::from(spread.total()) - i64::from(self.need);
         let after_loss =
@@ -89,16 +89,16 @@
 }
 
 impl PoolTarget {
-    /// [`PoolTarget::margin`] once an instance at `place` is gone.
+    /// Returns [`PoolTarget::margin`] after the removal of an instance at `location`.
     pub fn margin_without(&self, spread: &DomainSpread, location: &Location) -> i64 {
         let now = i64::from(spread.total()) - 1 - i64::from(self.need);
-        let eased = i64::from(spread.reduces_worst_loss(self.survive, location));
-        let worst = i64::from(spread.worst_loss(self.survive)) - eased;
+        let reduction = i64::from(spread.reduces_worst_loss(self.survive, location));
+        let worst = i64::from(spread.worst_loss(self.survive)) - reduction;
         now.min(now - worst + i64::from(self.may_lose))
     }
 }
 
-/// Instances of a pool by failure domain.
+/// Instance counts of a pool by failure domain.
 #[derive(Debug, Clone, Default)]
 pub struct DomainSpread {
     total: u32,
@@ -108,12 +108,12 @@
 }
 
 impl DomainSpread {
-    /// Instances in all.
+    /// Returns the total number of instances.
     pub fn total(&self) -> u32 {
         self.total
     }
 
-    /// Instances lost with the worst domain of this kind.
+    /// Returns the number of instances in the largest domain of this kind.
     pub fn worst_loss(&self, domain: Domain) -> u32 {
         match domain {
             Domain::Instance => self.total.min(1),
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Instances in the domains of `place`, of each kind.
+    /// Returns the counts in the zone, the switch and the rack of `location`.
     pub fn counts_at(&self, location: &Location) -> (u32, u32, u32) {
         (
             self.zones.get(location.zone),
@@ -132,7 +132,7 @@
         )
     }
 
-    /// Whether taking an instance at `place` away makes the worst domain smaller.
+    /// Returns whether the removal of an instance at `location` makes the largest domain smaller.
     pub fn reduces_worst_loss(&self, domain: Domain, location: &Location) -> bool {
         let (counts, ix) = match domain {
             Domain::Instance => return false,
@@ -161,38 +161,38 @@
 /// One pool.
 #[derive(Debug, Clone)]
 pub struct Pool {
-    /// What it must keep.
+    /// Capacity that the pool must keep.
     pub target: PoolTarget,
-    /// Instances wanted on top while a wave goes through the pool, so that some can be out.
+    /// Extra instances requested while a wave takes instances out of the pool.
     pub wave_surge: u32,
-    /// Committed instances that the pool needs beside those on top.
+    /// Committed instances that the pool needs without the surge.
     pub wave_baseline: u32,
-    /// Instances that the pool got for a wave and has not given back.
+    /// Surge instances that the pool still has to return after a wave.
     pub surge_to_return: u32,
-    /// Instances that take work.
+    /// Instances that accept work.
     pub serving: DomainSpread,
-    /// Instances that take work or soon will: serving and warming.
+    /// Instances that serve, warm up or are in maintenance.
     pub committed: DomainSpread,
-    /// The committed ones that no wave has to take out any more.
+    /// Committed instances that no running wave still has to maintain.
     pub committed_after_wave: DomainSpread,
     /// All instances of the pool by zone, whatever their phase.
     pub members_by_zone: Vec<BTreeSet<InstanceIx>>,
 }
 
 impl Pool {
-    /// [`PoolTarget::margin`] of the pool's own target.
+    /// Returns [`PoolTarget::margin`] for the pool's own target.
     pub fn margin(&self, spread: &DomainSpread) -> i64 {
         self.target.margin(spread)
     }
 
-    /// The margin if the need were what it may become before a maintenance step ends.
+    /// Returns the margin for the upper estimate of the need during a maintenance step.
     pub fn cautious_margin(&self, spread: &DomainSpread) -> i64 {
         let need = self.target.cautious_need;
         PoolTarget { need, ..self.target }.margin(spread)
     }
 
-    /// Committed instances in the failure domains of `place`, the surviving kind first. Those that
-    /// a wave takes out don't count while others take their places.
+    /// Returns the committed instances in the failure domains of `location`, the kind to survive
+    /// first. During a surge, instances that the wave still has to maintain don't count.
     pub fn load_at(&self, location: &Location) -> (u32, u32, u32) {
         let spread = if self.wave_surge > 0 { &self.committed_after_wave } else { &self.committed };
         let (zone, switch, rack) = spread.counts_at(location);
@@ -203,13 +203,13 @@
         }
     }
 
-    /// Instances that the pool still waits for, so that a wave can go through it.
+    /// Returns the number of surge instances that the pool doesn't have yet.
     pub fn missing_surge(&self) -> u32 {
         let wanted = if self.wave_surge > 0 { self.wave_baseline + self.wave_surge } else { 0 };
         wanted.saturating_sub(self.committed.total())
     }
 
-    /// Whether the pool is below its availability budget at this moment.
+    /// Returns whether the pool is below its availability budget now.
     pub fn is_below_budget(&self) -> bool {
         self.serving.total() + self.target.may_lose < self.target.need
     }
@@ -253,96 +253,96 @@
             phase: Phase::Free,
             awaits_maintenance: false,
         });
-        set_at(&mut self.free, location.zone).insert(ix);
+        zone_set_mut(&mut self.free, location.zone).insert(ix);
         ix
     }
 
-    /// All pools.
+    /// Returns all pools.
     pub fn pools(&self) -> &[Pool] {
         &self.pools
     }
 
-    /// One pool.
+    /// Returns one pool.
     pub fn pool(&self, ix: PoolIx) -> &Pool {
         &self.pools[ix as usize]
     }
 
-    /// Changes what a pool must keep.
+    /// Changes the target of a pool.
     pub fn set_target(&mut self, ix: PoolIx, target: PoolTarget) {
         self.pools[ix as usize].target = target;
     }
 
-    /// Asks for instances on top of what the pool has while a wave goes through it. With none the
-    /// pool owes back what it got.
-    pub fn set_wave_surge(&mut self, ix: PoolIx, extra: u32) {
+    /// Requests `surge` extra instances for a pool during a wave. Zero ends the surge; the pool
+    /// then has to return what it got.
+    pub fn set_wave_surge(&mut self, ix: PoolIx, surge: u32) {
         let pool = &mut self.pools[ix as usize];
         if pool.wave_surge == 0 {
-            // What a wave takes out must not endanger the need that may come before it is back.
+            // The pool must cover its cautious need while instances are out for maintenance.
             let shortfall = -pool.cautious_margin(&pool.committed).min(0);
             pool.wave_baseline = pool.committed.total() + shortfall as u32;
         }
-        if extra == 0 {
+        if surge == 0 {
             pool.surge_to_return = pool.committed.total().saturating_sub(pool.wave_baseline);
         }
-        pool.wave_surge = extra;
+        pool.wave_surge = surge;
     }
 
-    /// Notes that a pool gave an instance back that it got for a wave.
+    /// Records that a pool returned one of its surge instances.
     pub fn note_surge_returned(&mut self, ix: PoolIx) {
         let pool = &mut self.pools[ix as usize];
         pool.surge_to_return = pool.surge_to_return.saturating_sub(1);
     }
 
-    /// All instances.
+    /// Returns all instances.
     pub fn instances(&self) -> &[Instance] {
         &self.instances
     }
 
-    /// One instance.
+    /// Returns one instance.
     pub fn instance(&self, ix: InstanceIx) -> &Instance {
         &self.instances[ix as usize]
     }
 
-    /// Free instances by zone.
+    /// Returns the free instances by zone.
     pub fn free_by_zone(&self) -> &[BTreeSet<InstanceIx>] {
         &self.free
     }
 
-    /// Number of free instances.
+    /// Returns the number of free instances.
     pub fn free_count(&self) -> usize {
         self.free.iter().map(BTreeSet::len).sum()
     }
 
-    /// Puts an instance into another phase or pool; every index follows.
+    /// Sets the pool and the phase of an instance and updates the indexes.
     pub fn assign(&mut self, ix: InstanceIx, pool: Option<PoolIx>, phase: Phase) {
         debug_assert_eq!(pool.is_none(), matches!(phase, Phase::Free) || pool.is_none());
-        self.unlist(ix);
+        self.remove_from_indexes(ix);
         let instance = &mut self.instances[ix as usize];
         instance.pool = pool;
         instance.phase = phase;
-        self.list(ix);
+        self.add_to_indexes(ix);
     }
 
-    /// Notes whether a wave still has to take an instance out.
+    /// Sets whether a running wave still has to maintain an instance.
     pub fn set_awaits_maintenance(&mut self, ix: InstanceIx, awaits_maintenance: bool) {
         if self.instance(ix).awaits_maintenance == awaits_maintenance {
             return;
         }
-        self.unlist(ix);
+        self.remove_from_indexes(ix);
         self.instances[ix as usize].awaits_maintenance = awaits_maintenance;
-        self.list(ix);
+        self.add_to_indexes(ix);
     }
 
-    fn unlist(&mut self, ix: InstanceIx) {
+    fn remove_from_indexes(&mut self, ix: InstanceIx) {
         let Instance { location, pool, phase, awaits_maintenance } =
             self.instances[ix as usize].clone();
         match pool {
             None => {
-                set_at(&mut self.free, location.zone).remove(&ix);
+                zone_set_mut(&mut self.free, location.zone).remove(&ix);
             }
             Some(pool) => {
                 let pool = &mut self.pools[pool as usize];
-                set_at(&mut pool.members_by_zone, location.zone).remove(&ix);
+                zone_set_mut(&mut pool.members_by_zone, location.zone).remove(&ix);
                 if phase == Phase::Serving {
                     pool.serving.remove(&location);
                 }
@@ -356,17 +356,17 @@
         }
     }
 
-    fn list(&mut self, ix: InstanceIx) {
+    fn add_to_indexes(&mut self, ix: InstanceIx) {
         let Instance { location, pool, phase, awaits_maintenance } =
             self.instances[ix as usize].clone();
         match pool {
             None if phase == Phase::Free => {
-                set_at(&mut self.free, location.zone).insert(ix);
+                zone_set_mut(&mut self.free, location.zone).insert(ix);
             }
             None => {}
             Some(pool) => {
                 let pool = &mut self.pools[pool as usize];
-                set_at(&mut pool.members_by_zone, location.zone).insert(ix);
+                zone_set_mut(&mut pool.members_by_zone, location.zone).insert(ix);
                 if phase == Phase::Serving {
                     pool.serving.add(&location);
                 }
@@ -380,18 +380,19 @@
         }
     }
 
-    /// Whether the pool of `ix` keeps its target, and survives its worst domain, without it.
+    /// Returns whether the pool of `ix` meets its target, the loss of its largest domain included,
+    /// while `ix` is out of service.
     pub fn can_take_out(&self, ix: InstanceIx) -> bool {
         let instance = self.instance(ix);
         let Some(pool) = instance.pool.map(|pool| self.pool(pool)) else { return true };
         if instance.phase != Phase::Serving {
             return true;
         }
-        let eased =
+        let reduction =
             i64::from(pool.serving.reduces_worst_loss(pool.target.survive, &instance.location));
         let now = i64::from(pool.serving.total()) - i64::from(pool.target.cautious_need);
         let worst = i64::from(pool.serving.worst_loss(pool.target.survive));
-        let after_loss = now - worst + eased + i64::from(pool.target.may_lose);
+        let after_loss = now - worst + reduction + i64::from(pool.target.may_lose);
         after_loss.min(now + i64::from(pool.target.may_lose)) >= 1
     }
 }
@@ -400,7 +401,7 @@
     matches!(phase, Phase::Serving | Phase::Warming | Phase::InMaintenance)
 }
 
-fn set_at(sets: &mut Vec<BTreeSet<InstanceIx>>, zone: DomainIx) -> &mut BTreeSet<InstanceIx> {
+fn zone_set_mut(sets: &mut Vec<BTreeSet<InstanceIx>>, zone: DomainIx) -> &mut BTreeSet<InstanceIx> {
     let zone = zone as usize;
     if sets.len() <= zone {
         sets.resize_with(zone + 1, BTreeSet::new);
--- a/crates/jackdawpier_capacity/src/forecast.rs
+++ b/crates/jackdawpier_capacity/src/forecast.rs
@@ -1,4 +1,4 @@
-//! From the learned demand to what a pool needs now, before long, and at the most.
+//! Forecast of a pool's needs from its learned demand.
 
 use std::time::Duration;
 
@@ -7,36 +7,36 @@
     planner::Ceilings,
 };
 
-/// Growth looks this far ahead; a move takes about half of it.
-const GROW_AHEAD: Duration = Duration::from_secs(6 * 60);
-/// Shrinking looks this far ahead.
-const SHRINK_AHEAD: Duration = Duration::from_secs(3 * 3600);
-/// The same where the buffer weighs more than moves.
-const SHRINK_AHEAD_PROMPT: Duration = Duration::from_secs(30 * 60);
-/// A maintenance step looks this far ahead.
-const STEP_AHEAD: Duration = Duration::from_secs(15 * 60);
-/// Spreads kept above the mean for growth, before shrinking, and for what a maintenance step must
-/// not endanger.
-const GROW_CAUTION: f64 = 0.0;
-const SHRINK_CAUTION: f64 = 0.5;
-const STEP_CAUTION: f64 = 3.0;
+/// Forecast horizon for growth; twice the time that a move takes.
+const GROW_HORIZON: Duration = Duration::from_secs(6 * 60);
+/// Forecast horizon for shrinking.
+const SHRINK_HORIZON: Duration = Duration::from_secs(3 * 3600);
+/// Forecast horizon for shrinking where the deployment limits its buffer.
+const PROMPT_SHRINK_HORIZON: Duration = Duration::from_secs(30 * 60);
+/// Forecast horizon for a maintenance step.
+const MAINTENANCE_HORIZON: Duration = Duration::from_secs(15 * 60);
+/// Mean deviations added to the mean demand before growing, before shrinking, and for the need that
+/// a maintenance step must leave covered.
+const GROW_SAFETY_FACTOR: f64 = 0.0;
+const SHRINK_SAFETY_FACTOR: f64 = 0.5;
+const MAINTENANCE_SAFETY_FACTOR: f64 = 3.0;
 
-/// What a pool needs, in instances.
+/// Forecast needs of a pool, in instances.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Forecast {
-    /// Now, or by the time that an instance could have joined.
+    /// Need now, or at any time before a new instance can have joined.
     pub need: u32,
-    /// At the most before a maintenance step that starts now has ended.
+    /// Upper estimate of the need until a maintenance step that starts now has ended.
     pub cautious_need: u32,
-    /// Before long, so that nothing is given up that is needed again at once.
+    /// Need in the near future; prevents the release of instances that would soon be needed again.
     pub later_need: u32,
 }
 
-/// Forecasts the needs of a pool whose need is `present` now. `time` counts from some midnight;
-/// `kind_of` tells the kind of the day of a time.
+/// Forecasts the needs of a pool whose need is `current_need` now. `time` counts from an arbitrary
+/// midnight; `kind_of` returns the kind of the day of a time.
 pub fn forecast(
     demand: &DemandPattern,
-    present: u32,
+    current_need: u32,
     time: Duration,
     kind_of: impl Fn(Duration) -> DayKind,
     ceilings: &Ceilings,
@@ -49,12 +49,12 @@
         let before = demand.max_expected(time, time, today, safety_factor);
         before.max(demand.max_expected(time, time + ahead, then, safety_factor))
     };
-    let shrink_ahead =
-        if ceilings.buffer_instances.is_some() { SHRINK_AHEAD_PROMPT } else { SHRINK_AHEAD };
-    let need = present.max(expected(GROW_AHEAD, GROW_CAUTION));
+    let shrink_horizon =
+        if ceilings.buffer_instances.is_some() { PROMPT_SHRINK_HORIZON } else { SHRINK_HORIZON };
+    let need = current_need.max(expected(GROW_HORIZON, GROW_SAFETY_FACTOR));
     Forecast {
         need,
-        cautious_need: need.max(expected(STEP_AHEAD, STEP_CAUTION)),
-        later_need: expected(shrink_ahead, SHRINK_CAUTION),
+        cautious_need: need.max(expected(MAINTENANCE_HORIZON, MAINTENANCE_SAFETY_FACTOR)),
+        later_need: expected(shrink_horizon, SHRINK_SAFETY_FACTOR),
     }
 }
--- a/crates/jackdawpier_capacity/src/lib.rs
+++ b/crates/jackdawpier_capacity/src/lib.rs
@@ -1,7 +1,7 @@
-//! Pure decisions on pools, buffers and maintenance waves.
+//! Decisions on pools, buffers and maintenance waves, without I/O.
 //!
-//! The fleet's state answers in constant or logarithmic time what the loss of any failure domain
-//! would leave to a pool, so that a re-plan after one event does not grow with the fleet. See
+//! The fleet's state tracks for each pool the largest loss by failure domain in constant or
+//! logarithmic time, so the cost of a re-plan after one event doesn't grow with the fleet. See
 //! `docs/design/capacity.md` and `docs/design/waves.md`.
 
 pub mod counts;
--- a/crates/jackdawpier_capacity/src/planner.rs
+++ b/crates/jackdawpier_capacity/src/planner.rs
@@ -1,8 +1,8 @@
-//! Which instance moves to which pool: the smallest change that keeps every target.
+//! Planner of moves between pools: makes the fewest moves that keep every target.
 //!
-//! Growth goes ahead of the learned demand; shrinking waits until the surplus has lasted and will
-//! last. A re-plan looks at the pools that changed and at a bounded number of candidates, so it
-//! does not grow with the fleet.
+//! Pools grow before the learned demand does, and shrink only when a surplus has lasted and is
+//! forecast to last. A re-plan examines the changed pools and a bounded number of candidates, so
+//! its cost doesn't grow with the fleet.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -14,96 +14,96 @@
     reason::MoveReason,
 };
 
-/// Free instances looked at for one choice.
+/// Maximum number of instances examined for one choice.
 const MAX_CANDIDATES: usize = 16;
 
-/// One decided move.
+/// A planned move of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Move {
     /// The instance.
     pub instance: InstanceIx,
-    /// The pool that it goes to; none means that it becomes free.
+    /// Target pool; `None` if the instance becomes free.
     pub to: Option<PoolIx>,
-    /// Why.
+    /// Reason for the move.
     pub reason: MoveReason,
 }
 
-/// What a deployment prefers, as ceilings.
+/// Limits that a deployment sets on the planner.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Ceilings {
-    /// Most moves a day; only what keeps a target goes beyond.
+    /// Maximum number of moves a day; moves that restore a target may exceed it.
     pub moves_per_day: Option<u32>,
-    /// Most spare instances, which makes shrinking prompt.
+    /// Maximum number of buffer instances; a limit makes shrinking prompt.
     pub buffer_instances: Option<u32>,
 }
 
-/// What the planner must know of a pool besides its present state.
+/// Rules for shrinking a pool.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ShrinkPolicy {
-    /// The need that the pool will have before long.
+    /// Forecast need in the near future.
     pub later_need: u32,
-    /// Whether it may not shrink, because a wave goes through it and uses its slack.
+    /// Whether the pool must not shrink because a maintenance wave uses its slack.
     pub is_blocked: bool,
-    /// Whether it gives a surplus up at once, because others wait for instances.
+    /// Whether the pool releases a surplus at once because other pools wait for instances.
     pub is_immediate: bool,
 }
 
-/// How long a surplus must last before it is given up.
-const SURPLUS_LASTS: Duration = Duration::from_secs(10 * 60);
+/// Time for which a surplus must last before it is released.
+const MIN_SURPLUS_DURATION: Duration = Duration::from_secs(10 * 60);
 const DAY: Duration = Duration::from_secs(24 * 3600);
 
-/// The planner of one fleet.
+/// Planner of one fleet.
 #[derive(Debug, Default)]
 pub struct Planner {
     ceilings: Ceilings,
-    dirty: BTreeSet<PoolIx>,
-    /// Pools that found no free instance; they are looked at again each time.
-    unmet: Vec<PoolIx>,
+    changed_pools: BTreeSet<PoolIx>,
+    /// Pools that found no suitable free instance; every re-plan retries them.
+    unmet_pools: Vec<PoolIx>,
     surplus_since: Vec<Option<Now>>,
     shrinks_today: u32,
     day: u64,
-    /// Candidates looked at so far, the measure of work for regression bounds.
+    /// Number of candidates examined so far; tests bound the planner's work with it.
     pub candidates_examined: u64,
 }
 
 impl Planner {
-    /// Returns a planner that keeps to `ceilings`.
+    /// Returns a planner with these limits.
     pub fn new(ceilings: Ceilings) -> Self {
         Self { ceilings, ..Self::default() }
     }
 
-    /// Follows ceilings that were changed.
+    /// Updates the limits.
     pub fn set_ceilings(&mut self, ceilings: Ceilings) {
         self.ceilings = ceilings;
     }
 
-    /// Notes that a pool's target, members or forecast changed.
+    /// Marks a pool whose target, members or forecast changed for the next re-plan.
     pub fn mark_changed(&mut self, pool: PoolIx) {
-        self.dirty.insert(pool);
+        self.changed_pools.insert(pool);
     }
 
-    /// Decides on the pools that changed. The caller carries the moves out: an instance that joins
-    /// a pool is warming, one that leaves is draining.
+    /// Plans moves for the changed pools. The caller carries them out: an instance that joins a
+    /// pool is warming, one that leaves is draining.
     pub fn replan(
         &mut self,
         now: Now,
         fleet: &mut Fleet,
         policy_of: impl Fn(PoolIx) -> ShrinkPolicy,
     ) -> Vec<Move> {
-        self.start_day(now);
+        self.reset_daily_count(now);
         let mut moves = Vec::new();
-        for pool in std::mem::take(&mut self.dirty) {
+        for pool in std::mem::take(&mut self.changed_pools) {
             self.grow(fleet, pool, &mut moves);
             let policy = policy_of(pool);
             if !policy.is_blocked {
                 self.shrink(now, fleet, pool, policy, &mut moves);
             }
         }
-        self.dirty.extend(self.unmet.drain(..));
+        self.changed_pools.extend(self.unmet_pools.drain(..));
         moves
     }
 
-    fn start_day(&mut self, now: Now) {
+    fn reset_daily_count(&mut self, now: Now) {
         let day = now.as_secs() / DAY.as_secs();
         if day != self.day {
             self.day = day;
@@ -125,7 +125,7 @@
                 (_, false) => MoveReason::RestoresMargin,
             };
             let Some(instance) = self.choose_free(fleet, ix) else {
-                self.unmet.push(ix);
+                self.unmet_pools.push(ix);
                 return;
             };
             fleet.assign(instance, Some(ix), Phase::Warming);
@@ -133,8 +133,8 @@
         }
     }
 
-    /// The free instance whose failure domains the pool uses least; none if no free instance
-    /// would bring the pool nearer to its target.
+    /// Returns the free instance whose failure domains the pool uses least, or `None` if no free
+    /// instance would bring the pool nearer to its target.
     fn choose_free(&mut self, fleet: &Fleet, ix: PoolIx) -> Option<InstanceIx> {
         let pool = fleet.pool(ix);
         let per_zone = (MAX_CANDIDATES / fleet.free_by_zone().len().max(1)).max(2);
@@ -152,13 +152,13 @@
                 (fleet.instance(**ix).awaits_maintenance, pool.load_at(location(ix)), **ix)
             })
             .copied()?;
-        // One more in the worst domain helps only if others can follow in another domain.
-        let is_worst =
+        // One more instance in the largest domain helps only if another domain has candidates too.
+        let is_in_largest_domain =
             pool.load_at(location(&best)).0 >= pool.committed.worst_loss(pool.target.survive);
         let domain = |instance: &InstanceIx| location(instance).domain(pool.target.survive);
-        let has_other = candidates.iter().any(|other| domain(other) != domain(&best));
+        let has_other_domain = candidates.iter().any(|other| domain(other) != domain(&best));
         let is_short = pool.committed.total() < pool.target.need;
-        (is_short || !is_worst || has_other).then_some(best)
+        (is_short || !is_in_largest_domain || has_other_domain).then_some(best)
     }
 
     fn shrink(
@@ -178,13 +178,17 @@
             return;
         };
         let since = *self.surplus_since[ix as usize].get_or_insert(now);
-        let is_lent = |fleet: &Fleet| policy.is_immediate || fleet.pool(ix).surge_to_return > 0;
-        let lasts = if is_lent(fleet) { Duration::ZERO } else { SURPLUS_LASTS };
-        if now < since + lasts {
+        let is_immediate_release =
+            |fleet: &Fleet| policy.is_immediate || fleet.pool(ix).surge_to_return > 0;
+        let min_duration =
+            if is_immediate_release(fleet) { Duration::ZERO } else { MIN_SURPLUS_DURATION };
+        if now < since + min_duration {
             return;
         }
         let mut next = Some(instance);
-        while let Some(instance) = next.filter(|_| is_lent(fleet) || self.may_move()) {
+        while let Some(instance) =
+            next.filter(|_| is_immediate_release(fleet) || self.is_within_daily_limit())
+        {
             self.shrinks_today += u32::from(fleet.pool(ix).surge_to_return == 0);
             fleet.note_surge_returned(ix);
             fleet.assign(instance, Some(ix), Phase::Draining);
@@ -193,12 +197,13 @@
         }
     }
 
-    /// Each instance given up is one that joins again later, so the ceiling counts those.
-    fn may_move(&self) -> bool {
+    /// Returns whether the daily limit allows another move. It counts released instances only,
+    /// since each of them joins a pool again later.
+    fn is_within_daily_limit(&self) -> bool {
         self.ceilings.moves_per_day.is_none_or(|most| self.shrinks_today < most)
     }
 
-    /// A serving instance that the pool can do without, now and at its `later` need.
+    /// Returns a serving instance that the pool can release, both now and at its later need.
     fn choose_surplus(fleet: &Fleet, ix: PoolIx, later_need: u32) -> Option<InstanceIx> {
         let pool = fleet.pool(ix);
         let target = PoolTarget { need: pool.target.need.max(later_need), ..pool.target };
--- a/crates/jackdawpier_capacity/src/reason.rs
+++ b/crates/jackdawpier_capacity/src/reason.rs
@@ -1,46 +1,46 @@
-//! Typed reasons of every decision, as `explain`, the logs and the traces show them.
+//! Typed reasons of decisions, as shown by `explain`, logs and traces.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Why an instance is moved, or is not.
+/// Reason why an instance is moved.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MoveReason {
-    /// The learned pattern says that demand is about to grow.
-    #[display("demand is about to grow")]
+    /// The learned demand pattern predicts growth.
+    #[display("demand is expected to grow")]
     DemandGrows,
     /// The pool would no longer survive the loss of its worst failure domain.
     #[display("the pool would not survive its worst failure domain")]
     RestoresMargin,
-    /// A wave goes through the pool, which has no slack of its own.
-    #[display("a wave goes through the pool")]
+    /// A maintenance wave takes instances out of the pool, which has no slack of its own.
+    #[display("a maintenance wave takes instances out of the pool")]
     CarriesWave,
-    /// The pool has more than it will need for some time.
-    #[display("the pool has more than it needs")]
+    /// The pool has more instances than it needs now and in the near future.
+    #[display("the pool has more instances than it needs")]
     DemandFell,
-    /// The pool leans on one failure domain too much.
-    #[display("the pool leans on one failure domain")]
+    /// Too many of the pool's instances are in one failure domain.
+    #[display("too many instances of the pool are in one failure domain")]
     Spread,
 }
 
-/// Why an instance may not be taken out for maintenance now.
+/// Reason why an instance may not be taken out of service for maintenance now.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum HoldReason {
     /// Its class would not survive the loss of its worst failure domain.
     #[display("its class would not survive the loss of its worst failure domain")]
     Budget,
-    /// The canary has not come back healthy yet.
+    /// The canary instances have not returned healthy yet.
     #[display("the canary is not back yet")]
     Canary,
     /// The wave is paused by an operator.
     #[display("the wave is paused")]
     Paused,
-    /// The wave stopped itself: what it touched fails more than the rest.
+    /// The wave paused itself because too many of its recent steps failed.
     #[display("the wave stopped itself")]
     CorrelatedFailures,
-    /// The allowances of this holder are spent.
+    /// The allowance of this holder is exhausted.
     #[display("the allowance is spent")]
     Allowance,
 }
--- a/crates/jackdawpier_capacity/src/wave.rs
+++ b/crates/jackdawpier_capacity/src/wave.rs
@@ -1,8 +1,9 @@
-//! A maintenance wave: as wide as every class's budget allows, with this minute's failures
-//! charged first, after a canary, stopping by itself when what it touched fails more.
+//! Maintenance waves: rolling maintenance of many instances within the classes' budgets.
 //!
-//! Each instance's step is recorded before it is carried out, so that a new holder goes on without
-//! repeating a reboot.
+//! A wave starts with a canary, then maintains as many instances at once as every budget allows,
+//! after the charge for current failures. It pauses itself when too many of its recent steps fail.
+//! Each step is recorded before it is carried out, so a new holder continues without repeating a
+//! reboot.
 
 use std::{
     cmp::Reverse,
@@ -17,51 +18,51 @@
     reason::HoldReason,
 };
 
-/// Instances that must be back before the canary is judged, one of them from a pool; also the most
-/// that it takes out of pools.
+/// Number of instances, at least one of them from a pool, that must return before the canary phase
+/// ends; also the maximum number that the canary takes out of pools.
 const CANARY_INSTANCES: usize = 2;
-/// One free instance in this many of the fleet is left alone by a wave, to replace failures. Some
-/// ten times as many as fail within an hour of an ordinary day.
+/// A wave leaves one free instance for this many instances of the fleet, to replace failed ones:
+/// some ten times as many as fail within an hour of an ordinary day.
 const FREE_RESERVE_DIVISOR: usize = 250;
-/// Failed steps after which the rate is judged.
+/// Number of failed recent steps below which a wave doesn't pause itself.
 const MIN_FAILURES: usize = 3;
-/// Steps in which the part of the free instances that every pool gets is rounded.
-const PARTS: u32 = 32;
-/// A wave stops when this part of its recent steps has failed.
+/// Every pool gets the same share of its wanted surge, in multiples of one part in this many.
+const SURGE_SHARE_PARTS: u32 = 32;
+/// A wave pauses itself when one in this many of its recent steps has failed.
 const FAILED_SHARE_DIVISOR: usize = 5;
-/// Steps that count as recent.
+/// Number of steps that count as recent.
 const RECENT_STEPS: usize = 20;
-/// Instances looked at for one step of the wave, so that a tick takes bounded time.
-const MAX_STARTS: usize = 4096;
+/// Maximum number of pool instances taken out by one call, which bounds the time of a tick.
+const MAX_STARTS_PER_CALL: usize = 4096;
 
-/// What the wave has done with an instance.
+/// Progress of a wave's step on one instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum StepProgress {
-    /// Not touched yet.
+    /// Not started yet.
     Pending,
-    /// Out, or being drained for it.
+    /// Out of service for maintenance, or draining for it.
     Out,
-    /// Back and healthy.
+    /// Returned healthy.
     Done,
-    /// Did not come back healthy.
+    /// Did not return healthy.
     Failed,
 }
 
-/// States of a wave.
+/// State of a wave.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WaveState {
-    /// It goes on.
+    /// Starts steps as budgets allow.
     Running,
-    /// An operator paused it, or it stopped itself.
+    /// Paused by an operator or by itself.
     Paused {
-        /// Whether it stopped itself.
+        /// Whether the wave paused itself because of failed steps.
         by_itself: bool,
     },
-    /// An operator ended it; what is out comes back.
+    /// Cancelled by an operator; instances that are out still return.
     Cancelled,
-    /// Every instance is done.
+    /// Every step has ended.
     Finished,
 }
 
@@ -72,16 +73,16 @@
     progress: BTreeMap<InstanceIx, StepProgress>,
     pending: BTreeSet<InstanceIx>,
     out: BTreeSet<InstanceIx>,
-    /// Those of `out` that were taken from a pool.
+    /// Instances of `out` that were taken from a pool.
     out_serving: BTreeSet<InstanceIx>,
     recent_failures: Vec<bool>,
     done: usize,
-    /// Those done that were taken from a pool; the canary is judged by these.
+    /// Number of ended steps on instances from a pool; the canary phase needs at least one.
     done_serving: usize,
 }
 
 impl Wave {
-    /// Plans a wave over `instances`.
+    /// Returns a running wave over `instances`.
     pub fn new(instances: impl IntoIterator<Item = InstanceIx>) -> Self {
         let pending: BTreeSet<InstanceIx> = instances.into_iter().collect();
         let progress = pending.iter().map(|ix| (*ix, StepProgress::Pending)).collect();
@@ -97,7 +98,8 @@
         }
     }
 
-    /// Takes a wave over from its records.
+    /// Restores a wave from its records: each instance, its progress and whether it was taken from
+    /// a pool.
     pub fn restore(
         state: WaveState,
         steps: impl IntoIterator<Item = (InstanceIx, StepProgress, bool)>,
@@ -125,39 +127,39 @@
         wave
     }
 
-    /// Adds instances that joined the fleet after the wave was planned.
+    /// Adds an instance that joined the fleet after the wave was planned.
     pub fn add(&mut self, ix: InstanceIx) {
         if self.progress.insert(ix, StepProgress::Pending).is_none() {
             self.pending.insert(ix);
         }
     }
 
-    /// State of the wave.
+    /// Returns the state of the wave.
     pub fn state(&self) -> WaveState {
         self.state
     }
 
-    /// What the wave has done with an instance, if it belongs to it.
+    /// Returns the progress of an instance's step, or `None` if the wave doesn't include it.
     pub fn progress(&self, ix: InstanceIx) -> Option<StepProgress> {
         self.progress.get(&ix).copied()
     }
 
-    /// Instances that are done.
+    /// Returns the number of ended steps.
     pub fn done(&self) -> usize {
         self.done
     }
 
-    /// Instances not touched yet.
+    /// Returns the number of steps not started yet.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// Instances that are out.
+    /// Returns the instances that are out for maintenance.
     pub fn out(&self) -> &BTreeSet<InstanceIx> {
         &self.out
     }
 
-    /// Pauses the wave on an operator's word; returns whether that changed anything.
+    /// Pauses the wave for an operator; returns whether that changed its state.
     pub fn pause(&mut self) -> bool {
         let changes = self.state == WaveState::Running;
         if changes {
@@ -166,7 +168,8 @@
         changes
     }
 
-    /// Resumes a paused wave; earlier failures no longer count.
+    /// Resumes a paused wave and forgets its earlier failures; returns whether that changed its
+    /// state.
     pub fn resume(&mut self) -> bool {
         let changes = matches!(self.state, WaveState::Paused { .. });
         if changes {
@@ -176,7 +179,8 @@
         changes
     }
 
-    /// Ends the wave; what is out still comes back.
+    /// Cancels the wave; instances that are out still return. Returns whether that changed its
+    /// state.
     pub fn cancel(&mut self) -> bool {
         let changes = !matches!(self.state, WaveState::Cancelled | WaveState::Finished);
         if changes {
@@ -185,8 +189,9 @@
         changes
     }
 
-    /// Takes out what the budgets allow now. The caller records each start before it drains the
-    /// instance. Returns the starts and the reason that holds the rest, if any.
+    /// Starts the steps that the budgets allow now. Returns the instances to take out and the
+    /// reason why the others have to wait, if any. The caller records each start before it drains
+    /// the instance.
     pub fn start_steps(&mut self, fleet: &mut Fleet) -> (Vec<InstanceIx>, Option<HoldReason>) {
         self.finish_if_done();
         match self.state {
@@ -199,20 +204,23 @@
             WaveState::Cancelled | WaveState::Finished => return (Vec::new(), None),
             WaveState::Running => {}
         }
-        let is_canary = self.is_canary(fleet);
-        let canary_out = self.done_serving + self.out_serving.len();
-        let mut serving_room =
-            if is_canary { CANARY_INSTANCES.saturating_sub(canary_out) } else { MAX_STARTS };
-        let kept_free = free_reserve(fleet) + missing_surge(fleet) as usize;
-        let mut free_room = fleet.free_count().saturating_sub(kept_free);
+        let is_canary_phase = self.is_canary_phase(fleet);
+        let canary_count = self.done_serving + self.out_serving.len();
+        let mut serving_room = if is_canary_phase {
+            CANARY_INSTANCES.saturating_sub(canary_count)
+        } else {
+            MAX_STARTS_PER_CALL
+        };
+        let reserved_free = free_reserve(fleet) + missing_surge(fleet) as usize;
+        let mut free_room = fleet.free_count().saturating_sub(reserved_free);
         let mut starts = Vec::new();
         let mut hold = None;
-        for ix in self.order(fleet) {
+        for ix in self.sorted_pending(fleet) {
             let instance = fleet.instance(ix);
             let pool = instance.pool;
             let room = if pool.is_some() { &mut serving_room } else { &mut free_room };
             if *room == 0 {
-                hold = Some(if is_canary { HoldReason::Canary } else { HoldReason::Budget });
+                hold = Some(if is_canary_phase { HoldReason::Canary } else { HoldReason::Budget });
                 continue;
             }
             let is_ready = matches!(instance.phase, Phase::Serving | Phase::Free);
@@ -234,57 +242,58 @@
         (starts, hold)
     }
 
-    /// Whether too little has come back healthy to go on with the pools.
-    fn is_canary(&self, fleet: &Fleet) -> bool {
-        let is_judged = self.done >= CANARY_INSTANCES && self.done_serving > 0;
-        !is_judged && self.has_serving_pending(fleet)
+    /// Returns whether the wave is still in its canary phase.
+    fn is_canary_phase(&self, fleet: &Fleet) -> bool {
+        let is_canary_done = self.done >= CANARY_INSTANCES && self.done_serving > 0;
+        !is_canary_done && self.has_unfinished_in_pools(fleet)
     }
 
-    fn has_serving_pending(&self, fleet: &Fleet) -> bool {
+    fn has_unfinished_in_pools(&self, fleet: &Fleet) -> bool {
         self.pending.iter().chain(&self.out).any(|ix| fleet.instance(*ix).pool.is_some())
     }
 
-    /// Whether the wave has instances of this pool left to do.
+    /// Returns whether the wave has unfinished steps on instances of this pool.
     pub fn has_remaining_in(&self, fleet: &Fleet, pool: PoolIx) -> bool {
-        self.left_by_pool(fleet)[pool as usize] > 0
+        self.unfinished_by_pool(fleet)[pool as usize] > 0
     }
 
-    fn left_by_pool(&self, fleet: &Fleet) -> Vec<u32> {
-        let mut left = vec![0_u32; fleet.pools().len()];
+    fn unfinished_by_pool(&self, fleet: &Fleet) -> Vec<u32> {
+        let mut unfinished = vec![0_u32; fleet.pools().len()];
         for ix in self.pending.iter().chain(&self.out_serving) {
             if let Some(pool) = fleet.instance(*ix).pool {
-                left[pool as usize] += 1;
+                unfinished[pool as usize] += 1;
             }
         }
-        left
+        unfinished
     }
 
-    /// Instances that each pool should have on top, so that its own can be out. Free instances are
-    /// maintained first and then take the places of a whole pool, so that one step gets through it;
-    /// where they are too few, every pool has its part of them.
+    /// Returns the surge for each pool: the extra instances that replace those out for maintenance.
+    /// Free instances are maintained first and then replace a whole pool, so that all of it can be
+    /// maintained at once; if there are too few, every pool gets its share of them.
     pub fn surge_by_pool(&self, fleet: &Fleet) -> Vec<u32> {
-        let left = self.left_by_pool(fleet);
+        let unfinished = self.unfinished_by_pool(fleet);
         if self.state != WaveState::Running {
-            return vec![0; left.len()];
+            return vec![0; unfinished.len()];
         }
         if self.done == 0 {
-            return self.canary_surge_by_pool(fleet, &left);
+            return self.canary_surge_by_pool(fleet, &unfinished);
         }
-        let promised: u32 = fleet.pools().iter().map(|pool| pool.wave_surge).sum();
-        let granted = promised.saturating_sub(missing_surge(fleet));
-        proportional(&left, fleet.free_count() as u32 + granted)
+        let requested: u32 = fleet.pools().iter().map(|pool| pool.wave_surge).sum();
+        let received = requested.saturating_sub(missing_surge(fleet));
+        proportional(&unfinished, fleet.free_count() as u32 + received)
     }
 
-    /// One for the pool that is nearest to it, if no pool can spare an instance for the canary.
-    fn canary_surge_by_pool(&self, fleet: &Fleet, left: &[u32]) -> Vec<u32> {
-        let mut surge_by_pool = vec![0; left.len()];
+    /// Returns a surge of one for the pool with the largest margin if no pool can do without an
+    /// instance for the canary.
+    fn canary_surge_by_pool(&self, fleet: &Fleet, unfinished: &[u32]) -> Vec<u32> {
+        let mut surge_by_pool = vec![0; unfinished.len()];
         let can_take_out =
             |ix: &&InstanceIx| fleet.instance(**ix).pool.is_some() && fleet.can_take_out(**ix);
         let has_canary =
             !self.out_serving.is_empty() || self.pending.iter().any(|ix| can_take_out(&ix));
         let margin = |pool: &Pool| pool.cautious_margin(&pool.committed);
-        let nearest = (0..left.len())
-            .filter(|ix| left[*ix] > 0)
+        let nearest = (0..unfinished.len())
+            .filter(|ix| unfinished[*ix] > 0)
             .max_by_key(|ix| (margin(&fleet.pools()[*ix]), Reverse(*ix)));
         if !has_canary && let Some(pool) = nearest {
             surge_by_pool[pool] = 1;
@@ -292,23 +301,23 @@
         surge_by_pool
     }
 
-    /// Pending instances, those first whose loss makes the worst domain smaller: the wave then
-    /// works through one failure domain at a time, which costs each pool the least margin.
-    fn order(&self, fleet: &Fleet) -> Vec<InstanceIx> {
-        let mut order: Vec<InstanceIx> = self.pending.iter().copied().collect();
-        order.sort_by_key(|ix| {
+    /// Returns the pending instances sorted by failure domain. The wave maintains one domain after
+    /// another, which reduces the pools' margins least.
+    fn sorted_pending(&self, fleet: &Fleet) -> Vec<InstanceIx> {
+        let mut instances: Vec<InstanceIx> = self.pending.iter().copied().collect();
+        instances.sort_by_key(|ix| {
             let location = fleet.instance(*ix).location;
             (location.zone, location.switch, location.rack, *ix)
         });
-        order
+        instances
     }
 
-    /// Instances not touched yet, in the order of their numbers.
+    /// Returns the instances whose steps haven't started, in the order of their indexes.
     pub fn pending_instances(&self) -> impl Iterator<Item = InstanceIx> {
         self.pending.iter().copied()
     }
 
-    /// Notes that an instance came back, or did not. A repeated word changes nothing.
+    /// Records whether an instance returned healthy. A duplicate changes nothing.
     pub fn finish_step(&mut self, ix: InstanceIx, is_healthy: bool) {
         if !self.out.remove(&ix) {
             return;
@@ -337,7 +346,7 @@
         }
     }
 
-    /// Drops an instance that left the fleet.
+    /// Removes an instance that left the fleet.
     pub fn remove_instance(&mut self, ix: InstanceIx) {
         self.progress.remove(&ix);
         self.pending.remove(&ix);
@@ -346,36 +355,36 @@
     }
 }
 
-/// Free instances that pools still wait for, so that the wave can go through them.
+/// Returns the number of requested surge instances that the pools don't have yet.
 fn missing_surge(fleet: &Fleet) -> u32 {
     fleet.pools().iter().map(Pool::missing_surge).sum()
 }
 
-/// All of `wanted` if they are no more than `available`, else the same part of each, and one where
-/// the part is less than one: a pool with none would hold the whole wave up.
+/// Returns all of `wanted` if `available` suffices, else the same share of each, rounded up: a pool
+/// without any surge would block the whole wave.
 fn proportional(wanted: &[u32], available: u32) -> Vec<u32> {
     let part = |parts: u32| -> Vec<u32> {
-        wanted.iter().map(|count| (count * parts).div_ceil(PARTS)).collect()
+        wanted.iter().map(|count| (count * parts).div_ceil(SURGE_SHARE_PARTS)).collect()
     };
-    (1..=PARTS)
+    (1..=SURGE_SHARE_PARTS)
         .rev()
         .map(part)
         .find(|surge_by_pool| surge_by_pool.iter().sum::<u32>() <= available)
-        .unwrap_or_else(|| one_each(wanted, available))
+        .unwrap_or_else(|| at_most_one_each(wanted, available))
 }
 
-fn one_each(wanted: &[u32], available: u32) -> Vec<u32> {
-    let mut left = available;
+fn at_most_one_each(wanted: &[u32], available: u32) -> Vec<u32> {
+    let mut remaining = available;
     let one = |count: &u32| {
-        let extra = (*count).min(1).min(left);
-        left -= extra;
+        let extra = (*count).min(1).min(remaining);
+        remaining -= extra;
         extra
     };
     wanted.iter().map(one).collect()
 }
 
-/// Free instances that a wave leaves alone, to replace ordinary failures. What the pools have
-/// beyond their targets does the same.
+/// Returns the number of free instances that a wave leaves to replace failed ones. Surplus
+/// instances of the pools reduce it, since they serve the same purpose.
 fn free_reserve(fleet: &Fleet) -> usize {
     let surplus = |pool: &Pool| pool.margin(&pool.serving).max(0);
     let surplus: i64 = fleet.pools().iter().map(surplus).sum();
