--- a/crates/jackdawpier_entry/src/owner/commits.rs
+++ b/crates/jackdawpier_entry/src/owner/commits.rs
@@ -136,7 +136,7 @@
                 "job": *job.job,
                 "queue": *job.queue,
                 "end": format!("{:?}", job.outcome),
-                "took_ms": job.took.as_millis() as u64,
+                "took_ms": job.duration.as_millis() as u64,
                 "objective_ms": job.objective.as_millis() as u64,
                 "most_failures": job.most_failures,
                 "most_crashes": job.most_crashes,
--- a/crates/jackdawpier_entry/src/owner/explain.rs
+++ b/crates/jackdawpier_entry/src/owner/explain.rs
@@ -81,7 +81,7 @@
 /// The runs with the age of each, which tells whether one of them had just begun.
 fn lost(loss: &ExecutorLoss) -> Value {
     let named = |run: &LostRun| {
-        let age_ms = run.age.map(|age| age.as_millis() as u64);
+        let age_ms = run.confirmed_age.map(|age| age.as_millis() as u64);
         json!({ "task": run.task.to_string(), "run": run.run, "age_ms": age_ms })
     };
     json!({
--- a/crates/jackdawpier_fleet/src/fleet/command.rs
+++ b/crates/jackdawpier_fleet/src/fleet/command.rs
@@ -1,4 +1,4 @@
-//! What the owner wants done.
+//! Commands from the fleet state to the owner process.
 
 use std::sync::Arc;
 
@@ -10,78 +10,79 @@
     spec::{RunNumber, TaskKey},
 };
 
-/// What the owner wants done.
+/// A command that the owner process carries out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
-    /// Start a task; report by [`super::Fleet::start_ended`].
+    /// Starts a task; its outcome goes to [`super::Fleet::start_ended`].
     Start {
         /// The executor.
         executor: ExecutorId,
         /// The task.
         task: TaskKey,
-        /// Number of the start.
+        /// The run number.
         run: RunNumber,
-        /// What the job's caller gave for its tasks.
+        /// The payload that the job's caller submitted for its tasks.
         payload: Arc<str>,
-        /// Checkpoint to go on from; empty if there is none.
+        /// Checkpoint to resume from; empty if there is none.
         checkpoint: Box<str>,
-        /// Permission of the placement advisor, where the queue needs one.
+        /// Ticket of the placement advisor, if the queue needs one.
         ticket: Option<Arc<str>>,
     },
-    /// Stop a task; report by [`super::Fleet::stop_ended`].
+    /// Stops a task; its outcome goes to [`super::Fleet::stop_ended`].
     Stop {
         /// The executor.
         executor: ExecutorId,
         /// The task.
         task: TaskKey,
-        /// Number of the start.
+        /// The run number.
         run: RunNumber,
-        /// Why, for the log.
+        /// The reason, for the log.
         reason: StopReason,
     },
-    /// Let a task work at this share of its speed.
+    /// Throttles a task to a share of its speed.
     Pace {
         /// The executor.
         executor: ExecutorId,
         /// The task.
         task: TaskKey,
-        /// Number of the start.
+        /// The run number.
         run: RunNumber,
         /// The share in percent.
         percent: u32,
     },
-    /// Ask which of these executors may run a step; report by [`super::Fleet::advised`].
+    /// Asks the placement advisor which executors may run a step; its answer goes to
+    /// [`super::Fleet::advice_received`].
     Advise {
         /// A task of the step.
         task: TaskKey,
         /// The executors.
         executors: Vec<ExecutorId>,
     },
-    /// An order about a machine; report by [`super::Fleet::machine_order_ended`].
+    /// Sends a machine order; its outcome goes to [`super::Fleet::machine_order_ended`].
     Machine(MachineOrder),
-    /// The state of a wave of maintenance, for the operators.
+    /// Publishes the state of a maintenance wave for the operators.
     Wave(WaveState),
 }
 
-/// Why a run is stopped. What ends work of callers has to be found in the log.
+/// Why a run is stopped. Logged, so that every stop of a caller's work can be traced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopReason {
-    /// Its job is over, by this outcome.
+    /// Its job has ended with this outcome.
     JobOver(JobOutcome),
-    /// Another member of its gang doesn't run.
+    /// Another member of its gang isn't running.
     GangBroken,
-    /// It runs elsewhere from now on, so that its machine can be taken.
+    /// It is relocated so that its machine can be taken.
     MachineTaken,
-    /// It runs elsewhere from now on, so that other work finds room.
+    /// It is relocated so that another task has room.
     MakesRoom,
-    /// The order to start it went without a sure answer.
+    /// The outcome of its start order is unknown.
     StartUnsure,
-    /// Its executor had confirmed it and doesn't list it.
+    /// Its executor had confirmed it and no longer reports it.
     Unlisted,
-    /// Its executor has started again while the order to start it was on its way.
+    /// Its executor restarted while the start order was in flight.
     ExecutorRestarted,
-    /// It is of a job that is over or unknown, or was followed by a later run.
+    /// Its job has ended or is unknown, or a later run has replaced it.
     Superseded,
-    /// The order to stop it went without an answer before.
+    /// A previous stop order wasn't answered.
     Repeated,
 }
--- a/crates/jackdawpier_fleet/src/fleet/commits.rs
+++ b/crates/jackdawpier_fleet/src/fleet/commits.rs
@@ -1,4 +1,4 @@
-//! Making changes durable in groups, and what may happen once they are.
+//! Commits changed jobs to the store in batches, and acts on them once they are durable.
 
 use std::time::Duration;
 
@@ -15,10 +15,11 @@
     spec::{QueueName, TaskKey},
 };
 
-/// Rows of a job that is over and was cancelled: a condition, a value, and two keys removed.
-const MOST_ROWS_PER_JOB: usize = 4;
+/// Maximum number of transaction rows per job, that of an ended and cancelled one: a condition, a value, and two
+/// removed keys.
+const MAX_ROWS_PER_JOB: usize = 4;
 
-/// The durable end of a job, for the log.
+/// A job whose end is durable, for the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct FinishedJob {
     /// The job.
@@ -27,34 +28,34 @@
     pub queue: QueueName,
     /// How it ended.
     pub outcome: JobOutcome,
-    /// Time from its begin, which is its acceptance if it isn't repeated.
-    pub took: Duration,
-    /// The time that it should have taken at most.
+    /// Time from its start, which is its acceptance if it isn't repeated.
+    pub duration: Duration,
+    /// Its latency objective.
     pub objective: Duration,
     /// Failed runs of the task that failed most often.
     pub most_failures: u32,
-    /// Executors that crashed under the task under which most did.
+    /// Number of crashes that count against the task with most of them.
     pub most_crashes: usize,
 }
 
-/// A job whose record is to be written.
+/// A changed job with the record to write.
 #[derive(Debug)]
 pub struct ChangedJob {
     /// The job.
     pub job: JobId,
     /// Its record.
     pub record: JobRecord,
-    /// Revision that the store has of the record; 0 if it has none.
+    /// Revision of the record in the store; 0 if the store has none.
     pub revision: Revision,
-    /// The job is over with this write: what its caller handed in isn't needed any more.
+    /// The job ends with this write, so its submission is removed.
     pub is_ending: bool,
-    /// Its cancellation is in the store.
+    /// The job was cancelled, so its cancellation key is removed as well.
     pub is_cancelled: bool,
     changes: u64,
 }
 
 impl ChangedJob {
-    /// Rows that it takes in a transaction: a condition, a value, and what is removed.
+    /// Returns its number of rows in a transaction: a condition, a value, and the removed keys.
     pub fn rows(&self) -> usize {
         2 + usize::from(self.is_ending) * (1 + usize::from(self.is_cancelled))
     }
@@ -70,17 +71,17 @@
 }
 
 impl Fleet {
-    /// Takes changed jobs that fill up to `most_rows` rows of a transaction, see
-    /// [`ChangedJob::rows`]. A job is in one batch at a time, so batches may be written side by side.
-    pub fn take_batch(&mut self, most_rows: usize) -> Option<Batch> {
+    /// Takes a batch of changed jobs with at most `max_rows` rows in a transaction, see
+    /// [`ChangedJob::rows`]. A job is in one batch at a time, so batches may be written concurrently.
+    pub fn take_batch(&mut self, max_rows: usize) -> Option<Batch> {
         let mut jobs: Vec<ChangedJob> = Vec::new();
         let mut rows = 0;
-        let mut later = Vec::new();
-        while rows + MOST_ROWS_PER_JOB <= most_rows {
+        let mut deferred = Vec::new();
+        while rows + MAX_ROWS_PER_JOB <= max_rows {
             let Some(id) = self.changed_jobs.pop_front() else { break };
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             if job.is_writing {
-                later.push(id);
+                deferred.push(id);
                 continue;
             }
             job.is_dirty = false;
@@ -96,7 +97,7 @@
             rows += changed.rows();
             jobs.push(changed);
         }
-        self.changed_jobs.extend(later);
+        self.changed_jobs.extend(deferred);
         if jobs.is_empty() {
             return None;
         }
@@ -104,13 +105,13 @@
         Some(Batch { number: self.next_batch, jobs })
     }
 
-    /// Whether something waits to be written.
+    /// Returns whether changed jobs wait to be written.
     pub fn has_changes(&self) -> bool {
         self.changed_jobs.iter().any(|id| self.jobs.get(id).is_some_and(|job| !job.is_writing))
     }
 
-    /// A batch is durable at these revisions, one a record: its placements may be ordered, its ends
-    /// acknowledged and its outcomes shown.
+    /// Handles a batch that is durable at `revisions`, one per record: its placements may be ordered, its
+    /// ends acknowledged and its outcomes shown.
     pub fn batch_durable(&mut self, now: Now, batch: &Batch, revisions: &[Revision]) {
         for (written, &revision) in batch.jobs.iter().zip(revisions) {
             let (id, record) = (&written.job, &written.record);
@@ -121,9 +122,9 @@
             let settled = job.unsettled.extract_if(.., |(needed, _)| *needed <= written.changes);
             self.acknowledgeable.extend(settled.map(|(_, executor)| executor));
             if let Some(outcome) = record.outcome {
-                let is_news = job.shown.replace(outcome).is_none();
-                if is_news {
-                    self.note_finished(now, id, outcome);
+                let is_first_time = job.shown.replace(outcome).is_none();
+                if is_first_time {
+                    self.record_finished_job(now, id, outcome);
                 }
                 continue;
             }
@@ -131,28 +132,28 @@
         }
     }
 
-    fn note_finished(&mut self, now: Now, id: &JobId, outcome: JobOutcome) {
+    fn record_finished_job(&mut self, now: Now, id: &JobId, outcome: JobOutcome) {
         let Some(job) = self.jobs.get(id) else { return };
         let queue = self.queues.get(&job.queue);
-        let worst = job.tasks.iter().max_by_key(|task| task.failures());
+        let most_failed = job.tasks.iter().max_by_key(|task| task.failures());
         self.finished.push(FinishedJob {
             job: id.clone(),
             queue: job.queue.clone(),
             outcome,
-            took: now.saturating_sub(job.next_began_at()),
+            duration: now.saturating_sub(job.next_began_at()),
             objective: queue.map(|queue| objective(job, queue)).unwrap_or_default(),
-            most_failures: worst.map_or(0, Task::failures),
+            most_failures: most_failed.map_or(0, Task::failures),
             most_crashes: job.tasks.iter().map(|task| task.crashes().len()).max().unwrap_or(0),
         });
     }
 
-    /// Jobs whose ends have become durable since the last call.
+    /// Takes the jobs whose ends have become durable since the last call.
     pub fn take_finished(&mut self) -> Vec<FinishedJob> {
         std::mem::take(&mut self.finished)
     }
 
-    /// Executors of which more ends have become durable since the last call, so that more of them may be
-    /// acknowledged. One may be named several times.
+    /// Takes the executors of which further ends may be acknowledged, because they have become durable since
+    /// the last call. May contain duplicates.
     pub fn take_acknowledgeable(&mut self) -> Vec<ExecutorId> {
         std::mem::take(&mut self.acknowledgeable)
     }
@@ -187,7 +188,7 @@
         }
     }
 
-    /// Takes a batch back whose writing is certain to have had no effect.
+    /// Handles a batch whose write is certain to have had no effect: its jobs are queued for writing again.
     pub fn batch_refused(&mut self, batch: &Batch) {
         for written in &batch.jobs {
             let Some(job) = self.jobs.get_mut(&written.job) else { continue };
--- a/crates/jackdawpier_fleet/src/fleet/crash_backoff.rs
+++ b/crates/jackdawpier_fleet/src/fleet/crash_backoff.rs
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Restarts the back-offs of an earlier owner's job in full: how much of them has passed isn't known.
+    /// Restarts the back-offs of a previous owner's job in full: how much of them has passed isn't known.
     pub(super) fn restore_backoffs(&mut self, now: Now, id: &JobId) {
         let Some(job) = self.jobs.get(id).filter(|job| !job.is_over()) else { return };
         let delay = |index: usize| match job.retry(index) {
--- a/crates/jackdawpier_fleet/src/fleet/gangs.rs
+++ b/crates/jackdawpier_fleet/src/fleet/gangs.rs
@@ -1,4 +1,4 @@
-//! Tasks that work only together: all of them are placed, or none.
+//! Places, fails and stops the tasks of a gang as a unit.
 
 use jackdawpier_kernel::{Now, ids::JobId};
 
@@ -14,24 +14,24 @@
 };
 
 impl Fleet {
-    /// Stops what runs of a gang, since a run without one member is worth nothing.
+    /// Stops all running members of a gang. A gang can't make progress without one of its members.
     pub(super) fn stop_gang(&mut self, now: Now, id: &JobId, slot: usize) {
         let Some(job) = self.jobs.get(id) else { return };
         let members: Vec<TaskRef> = job.tasks_of(slot).map(|index| (id.clone(), index)).collect();
         members.iter().for_each(|member| self.stop_task(now, member, StopReason::GangBroken));
     }
 
-    /// Stops the other members of a task's gang, if it has one.
-    pub(super) fn stop_members(&mut self, now: Now, task_ref: &TaskRef) {
+    /// Stops the other members of a task's gang, if the task has one.
+    pub(super) fn stop_other_members(&mut self, now: Now, task_ref: &TaskRef) {
         let Some(job) = self.jobs.get(&task_ref.0) else { return };
         if job.step(task_ref.1).is_gang {
             self.stop_gang(now, &task_ref.0, job.slot(task_ref.1));
         }
     }
 
-    /// Whether another member of the task's gang has ended well in the same run, which counts for
-    /// all of them.
-    pub(super) fn gang_is_done(&self, task_ref: &TaskRef) -> bool {
+    /// Returns whether another member of the task's gang has completed in the same run, which completes the
+    /// whole gang.
+    pub(super) fn is_gang_done(&self, task_ref: &TaskRef) -> bool {
         let Some(job) = self.jobs.get(&task_ref.0) else { return false };
         if !job.step(task_ref.1).is_gang {
             return false;
@@ -40,15 +40,15 @@
         job.tasks_of(slot).any(|index| job.tasks[index].phase == Phase::Done)
     }
 
-    /// Counts one failure a run for the whole gang.
-    pub(super) fn note_gang_failure(&mut self, id: &JobId, slot: usize, run: RunNumber) {
+    /// Counts one failure per run for the whole gang.
+    pub(super) fn record_gang_failure(&mut self, id: &JobId, slot: usize, run: RunNumber) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         for index in job.tasks_of(slot) {
             job.tasks[index].note_failure(run);
         }
     }
 
-    /// Places a whole gang or nothing of it.
+    /// Places all members of a gang, or none. Returns whether they were placed.
     pub(super) fn place_gang(
         &mut self,
         now: Now,
@@ -59,42 +59,44 @@
         let Some(job) = self.jobs.get(id) else { return false };
         let members: Vec<TaskIndex> = job.tasks_of(slot).collect();
         let is_ready = |task: &Task| task.phase == Phase::Waiting && !task.is_given_up;
-        let is_whole = members.iter().all(|&index| is_ready(&job.tasks[index]));
-        if !is_whole {
+        let all_ready = members.iter().all(|&index| is_ready(&job.tasks[index]));
+        if !all_ready {
             return false;
         }
         let needs_one_rack = job.step(members[0]).same_rack;
         let racks = if needs_one_rack { self.racks_of(id) } else { Vec::new() };
-        let tries = racks.into_iter().map(Some).chain([None]);
-        for rack in tries {
+        let attempts = racks.into_iter().map(Some).chain([None]);
+        for rack in attempts {
             let mut placed = Vec::new();
             for &index in &members {
                 let chosen = self.choose_executor(now, id, index, rack.as_deref(), round);
                 let Some(executor) = chosen else { break };
                 let job = &self.jobs[id];
-                let member = self.executors.get_mut(&executor).expect("just chosen");
+                let member =
+                    self.executors.get_mut(&executor).expect("the executor was just chosen");
                 allocate(member, &mut self.accounts, job, index);
                 placed.push((index, executor));
             }
             if placed.len() == members.len() {
-                self.plan_gang(id, &placed);
+                self.assign_gang(id, &placed);
                 return true;
             }
             for (index, executor) in placed {
                 let job = &self.jobs[id];
-                let member = self.executors.get_mut(&executor).expect("just booked");
+                let member =
+                    self.executors.get_mut(&executor).expect("the executor was just chosen");
                 release(member, &mut self.accounts, job, index);
             }
         }
         false
     }
 
-    fn plan_gang(
+    fn assign_gang(
         &mut self,
         id: &JobId,
         placed: &[(TaskIndex, jackdawpier_kernel::ids::ExecutorId)],
     ) {
-        let job = self.jobs.get_mut(id).expect("the caller has just read it");
+        let job = self.jobs.get_mut(id).expect("the caller has just read the job");
         let run = placed.iter().map(|(index, _)| job.tasks[*index].run).max().unwrap_or(0) + 1;
         let checkpoint = placed
             .iter()
@@ -112,7 +114,7 @@
         for (index, executor) in placed {
             self.isolate_start(executor, id, *index);
         }
-        let job = self.jobs.get_mut(id).expect("the caller has just read it");
+        let job = self.jobs.get_mut(id).expect("the caller has just read the job");
         let is_placed = |index: &TaskIndex| placed.iter().any(|(one, _)| one == index);
         job.startable.retain(|index| !is_placed(index));
         self.mark_changed(id);
--- a/crates/jackdawpier_fleet/src/fleet/incarnations.rs
+++ b/crates/jackdawpier_fleet/src/fleet/incarnations.rs
@@ -1,7 +1,7 @@
-//! Executors that start again under the id that they had.
+//! Handles executors that restart under the same id.
 //!
-//! A later life holds nothing of the former one, and its clock and its ends count anew. See
-//! `docs/design/lives.md`.
+//! A new incarnation has none of the state of the previous one: its clock and its sequence of ends start
+//! over. See `docs/design/lives.md`.
 
 use std::collections::BTreeSet;
 
@@ -13,26 +13,26 @@
     job::{Phase, StopOrder},
 };
 
-/// What a report says of the life that it comes from.
+/// The incarnation of an executor that a report comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ReportOrigin {
-    /// The one that is known.
+    /// The current one.
     Current,
-    /// One that was over before: the report has been overtaken.
+    /// A previous one: the report was overtaken by later ones.
     Previous,
-    /// Another one.
+    /// A new one.
     New(LifeId),
 }
 
 impl Fleet {
-    /// An executor didn't answer a hold: it may be another life that answers the next one.
+    /// Handles a hold that an executor didn't answer. The next answer may come from a new incarnation.
     pub fn hold_failed(&mut self, now: Now, id: &str) {
         if let Some(executor) = self.executors.get_mut(id) {
             executor.failed_at.get_or_insert(now);
         }
     }
 
-    /// Settles what a former life of an executor ran, after its first report in another one.
+    /// Settles the runs of an executor's previous incarnation after the first report of a new one.
     pub(super) fn settle_previous_incarnation(
         &mut self,
         now: Now,
@@ -44,7 +44,7 @@
             LossEvidence::Unlisted => LossEvidence::Restarted,
             evidence => evidence,
         };
-        let here: BTreeSet<TaskRef> = report
+        let still_running: BTreeSet<TaskRef> = report
             .running
             .iter()
             .filter_map(|run| {
@@ -55,18 +55,18 @@
             .collect();
         let Some(executor) = self.executors.get(id) else { return };
         let signs = executor.former_end;
-        let gone: Vec<TaskRef> =
-            executor.tasks.iter().filter(|task| !here.contains(*task)).cloned().collect();
-        self.note_loss(now, id, evidence, &gone);
+        let lost: Vec<TaskRef> =
+            executor.tasks.iter().filter(|task| !still_running.contains(*task)).cloned().collect();
+        self.note_loss(now, id, evidence, &lost);
         if evidence != LossEvidence::Taken {
-            self.note_crash(now, id, evidence == LossEvidence::Restarted, signs, &gone);
+            self.note_crash(now, id, evidence == LossEvidence::Restarted, signs, &lost);
         }
-        gone.iter().for_each(|task| self.settle_lost_run(now, sent_at, task));
-        gone.iter().for_each(|task| self.give_up(now, task));
+        lost.iter().for_each(|task| self.settle_lost_run(now, sent_at, task));
+        lost.iter().for_each(|task| self.give_up(now, task));
     }
 
-    /// A run that isn't there after its executor has started again. An order that is under way may reach
-    /// the new life, which knows of no stop; so it is told.
+    /// Settles a run that its restarted executor doesn't list. A start order in flight may still reach the
+    /// new incarnation, so the run is stopped.
     fn settle_lost_run(&mut self, now: Now, sent_at: Now, task_ref: &TaskRef) {
         let Some(job) = self.jobs.get_mut(&task_ref.0) else { return };
         let task = &mut job.tasks[task_ref.1];
@@ -79,7 +79,7 @@
                 if matches!(order, StopOrder::Taken { .. }) {
                     *order = StopOrder::Unanswered;
                 }
-                // What the new life answers says nothing of this run.
+                // The answers of the new incarnation don't concern this run.
                 task.confirmed_at = None;
             }
             _ => {}
@@ -88,7 +88,7 @@
 }
 
 impl Executor {
-    /// Which life a report comes from.
+    /// Returns which incarnation a report comes from.
     pub(super) fn report_origin(&mut self, report: &HoldReport) -> ReportOrigin {
         match (self.life, report.life) {
             (_, None) => ReportOrigin::Current,
@@ -102,14 +102,14 @@
         }
     }
 
-    /// Takes in what the registry says of its life: an executor whose life was over is there again.
+    /// Updates the incarnation from the registry. If the known one is over, a new one begins.
     pub(super) fn note_registered(&mut self, now: Now, info: &ExecutorInfo) {
         let Some(life) = info.life else { return };
         let is_other = self.life != Some(life) && !self.former_lives.contains(&life);
         match self.life {
             None => self.life = Some(life),
             Some(_) if is_other && self.is_over => self.begin_life(now, life),
-            // What runs there is settled by its own first report.
+            // Its first report settles the runs of the previous incarnation.
             Some(_) if is_other => {
                 self.failed_at.get_or_insert(now);
             }
--- a/crates/jackdawpier_fleet/src/fleet/intake.rs
+++ b/crates/jackdawpier_fleet/src/fleet/intake.rs
@@ -1,4 +1,4 @@
-//! How jobs come in: newly accepted ones, and those that an earlier owner left.
+//! Adds newly accepted jobs, and recovers those of previous owners.
 
 use std::time::Duration;
 
@@ -16,22 +16,22 @@
     spec::{JobSpec, Submission},
 };
 
-/// Entries' times of day differ by no more than this, also while they are set right.
-const CLOCK_DIFFERENCE: Duration = Duration::from_secs(5);
-/// Labels that are remembered: callers may make up any number.
-const MAX_ASKED_LABELS: usize = 64;
+/// Maximum difference between the wall clocks of two entries, also while a clock is being corrected.
+const MAX_CLOCK_SKEW: Duration = Duration::from_secs(5);
+/// Maximum number of requested labels that are kept. Labels are free text from callers.
+const MAX_REQUESTED_LABELS: usize = 64;
 
-/// What is left of a job that an earlier owner ended.
+/// What is known of a job that ended under a previous owner.
 #[derive(Debug)]
 pub(super) struct InheritedEndedJob {
     pub(super) outcome: JobOutcome,
     pub(super) account: Option<AccountName>,
-    /// Some task of it was ordered more than once.
+    /// Some task of the job was ordered more than once.
     pub(super) has_rerun: bool,
 }
 
 impl Fleet {
-    /// Takes in an accepted job that arrived at `arrived_at`. A job that is known already stays as it is.
+    /// Adds an accepted job that arrived at `arrived_at`. Does nothing if the job is already known.
     pub fn add_job(
         &mut self,
         now: Now,
@@ -44,14 +44,14 @@
             && !self.jobs.contains_key(&id)
         {
             let arrivals = self.arrivals.entry(queue.service.clone()).or_default();
-            // What a cap keeps from running within a second needs no machines.
-            let most = self.accounts.left_millicores(submission.account.as_ref());
-            arrivals.add(now, arrived_at, submission.spec.core_ms().min(most));
+            // Work beyond the account's cap per second doesn't count as demand for machines.
+            let max_millicores = self.accounts.left_millicores(submission.account.as_ref());
+            arrivals.add(now, arrived_at, submission.spec.core_ms().min(max_millicores));
         }
         self.recover_job(now, wall_ms, id, submission, None);
     }
 
-    /// Takes in a job with what an earlier owner wrote of it.
+    /// Adds a job with the record that a previous owner wrote, if any.
     pub fn recover_job(
         &mut self,
         now: Now,
@@ -67,7 +67,7 @@
             let known = self.queues.entry(submission.queue.clone());
             known.or_insert_with(|| settings.clone());
         }
-        self.note_labels(&submission.spec);
+        self.record_requested_labels(&submission.spec);
         let age = Duration::from_millis(wall_ms.saturating_sub(submission.accepted_ms));
         let mut job = Job::new(id.clone(), submission, now.saturating_sub(age));
         if let Some((record, revision)) = &written {
@@ -75,7 +75,7 @@
         }
         if job.is_over() {
             if let Some((record, _)) = &written {
-                self.count_remains(now, wall_ms, record);
+                self.count_leftover_usage(now, wall_ms, record);
             }
             self.ended_jobs.push_back((id.clone(), now));
         } else {
@@ -83,54 +83,55 @@
             if job.spec.schedule.is_some() {
                 self.scheduled.insert(id.clone());
             }
-            self.place_doubtful(&job);
+            self.allocate_inherited_tasks(&job);
             job.open_steps(now, wall_ms);
         }
         self.jobs.insert(id.clone(), job);
         self.restore_backoffs(now, &id);
     }
 
-    /// Remembers the labels that a job asks for: others like it will come.
-    fn note_labels(&mut self, spec: &JobSpec) {
+    /// Records the labels that a job requires, since further jobs are likely to require them too.
+    fn record_requested_labels(&mut self, spec: &JobSpec) {
         for label in spec.steps.iter().filter_map(|step| step.required_label.as_ref()) {
-            if self.requested_labels.len() < MAX_ASKED_LABELS {
+            if self.requested_labels.len() < MAX_REQUESTED_LABELS {
                 self.requested_labels.insert(label.clone());
             }
         }
     }
 
-    /// Takes in a job that an earlier owner ended, of which the store only has the record.
+    /// Adds a job that ended under a previous owner and of which only the record is left in the store.
     pub fn recover_ended_job(&mut self, now: Now, wall_ms: u64, id: JobId, record: &JobRecord) {
         let Some(outcome) = record.outcome else { return };
         if self.jobs.contains_key(&id) {
             return;
         }
-        self.count_remains(now, wall_ms, record);
+        self.count_leftover_usage(now, wall_ms, record);
         let account = record.account.clone();
         let ended = InheritedEndedJob { outcome, account, has_rerun: record.has_rerun };
         self.inherited_ended_jobs.insert(id.clone(), ended);
         self.ended_jobs.push_back((id, now));
     }
 
-    /// An earlier owner has noted which machines it ordered lately, before each order left, and how
-    /// long before its last note that was. Those are left alone until its orders must have arrived;
-    /// all others may be ordered at once.
+    /// Recovers a previous owner's notes of its recent machine orders. Each machine comes with the time
+    /// between its order and the last note. These machines get no orders until the noted ones must have
+    /// arrived; all others may be ordered at once.
     pub fn recover_orders(&mut self, now: Now, machines: Vec<(MachineId, Duration)>) {
         self.machines.hold(now, machines);
     }
 
-    /// Counts what a job that an earlier owner ended may still have running, until it must have ended.
-    fn count_remains(&mut self, now: Now, wall_ms: u64, record: &JobRecord) {
+    /// Counts the usage of runs that an ended job of a previous owner may still have, until they must have
+    /// ended.
+    fn count_leftover_usage(&mut self, now: Now, wall_ms: u64, record: &JobRecord) {
         let (Some(account), Some(remains)) = (&record.account, record.remains) else { return };
         let age = Duration::from_millis(wall_ms.saturating_sub(remains.ended_ms));
-        if age < self.settings.takeover_uncertainty + CLOCK_DIFFERENCE {
+        if age < self.settings.takeover_uncertainty + MAX_CLOCK_SKEW {
             let until = self.started_at.max(now) + self.settings.takeover_uncertainty;
             self.accounts.book_until(until, account, &remains.amount);
         }
     }
 
-    /// Books the room of the tasks that an earlier owner placed.
-    fn place_doubtful(&mut self, job: &Job) {
+    /// Allocates the resources of the tasks that a previous owner placed.
+    fn allocate_inherited_tasks(&mut self, job: &Job) {
         let doubt_until = self.started_at + self.settings.takeover_uncertainty;
         for (index, task) in job.tasks.iter().enumerate() {
             let Some(id) = task.phase.executor() else { continue };
--- a/crates/jackdawpier_fleet/src/fleet/label_shares.rs
+++ b/crates/jackdawpier_fleet/src/fleet/label_shares.rs
@@ -1,8 +1,8 @@
-//! How many of the machines with a scarce label each pool is entitled to.
+//! Divides the machines with a scarce label fairly among the pools.
 //!
-//! Max-min fair: a pool that needs less than an equal part keeps what it needs, and the others share the
-//! rest equally. By what waits alone, the pool with the longest backlog would take all of them, and work
-//! of the others that is still in time would wait behind it.
+//! Shares are max-min fair: a pool that needs less than an equal share gets what it needs, and the others
+//! share the rest equally. If shares followed the backlog, the pool with the longest one would take all
+//! machines, and jobs of the others that could still meet their objectives would wait behind it.
 
 use std::collections::BTreeMap;
 
@@ -11,35 +11,35 @@
 use super::pool_view::PoolView;
 use crate::spec::Label;
 
-/// What bounds the part of one pool.
+/// The bounds of one pool's share.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct ShareBounds {
-    /// Machines that it can't give away.
+    /// Number of machines that it can't give up.
     pub(super) pinned: usize,
-    /// Machines that it has work for.
+    /// Number of machines that it has work for.
     pub(super) needed: usize,
 }
 
 impl ShareBounds {
-    fn share(&self, equal: usize) -> usize {
+    fn clamp(&self, equal: usize) -> usize {
         equal.min(self.needed).max(self.pinned)
     }
 }
 
-/// The largest equal part for which there are machines.
-fn equal_part(machines: usize, pools: &[ShareBounds]) -> usize {
-    let is_enough =
-        |equal: &usize| pools.iter().map(|bounds| bounds.share(*equal)).sum::<usize>() <= machines;
-    (1..=machines).take_while(is_enough).last().unwrap_or(0)
+/// Returns the largest equal share for which there are enough machines.
+fn max_equal_share(machines: usize, pools: &[ShareBounds]) -> usize {
+    let fits =
+        |equal: &usize| pools.iter().map(|bounds| bounds.clamp(*equal)).sum::<usize>() <= machines;
+    (1..=machines).take_while(fits).last().unwrap_or(0)
 }
 
-/// The machines with a label to which each pool that has or wants some is entitled.
+/// Returns the number of machines with a label that each pool is entitled to.
 pub(super) fn label_shares(
     pools: &BTreeMap<PoolName, PoolView>,
     label: &Label,
 ) -> BTreeMap<PoolName, usize> {
     let machines = pools.values().map(|pool| pool.holds_with_label(Some(label))).sum();
     let bounds: Vec<ShareBounds> = pools.values().map(|pool| pool.share_bounds(label)).collect();
-    let equal = equal_part(machines, &bounds);
-    pools.keys().zip(&bounds).map(|(name, bounds)| (name.clone(), bounds.share(equal))).collect()
+    let equal = max_equal_share(machines, &bounds);
+    pools.keys().zip(&bounds).map(|(name, bounds)| (name.clone(), bounds.clamp(equal))).collect()
 }
--- a/crates/jackdawpier_fleet/src/fleet/losses.rs
+++ b/crates/jackdawpier_fleet/src/fleet/losses.rs
@@ -1,4 +1,4 @@
-//! Executors whose lives are over: what ran there is released, and named for the log.
+//! Releases the runs of lost executors, and records them for the log.
 
 use std::time::Duration;
 
@@ -11,21 +11,22 @@
     spec::{RunNumber, TaskKey},
 };
 
-/// An executor that a list of machines has named within this time was alive: a few listings.
-const NAMED_LATELY: Duration = Duration::from_secs(1);
+/// An executor that was in a list of machines this recently is taken for alive: a few listing intervals.
+const RECENTLY_LISTED: Duration = Duration::from_secs(1);
 
-/// How it is known that an executor runs nothing any more.
+/// The evidence that an executor no longer runs anything.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LossEvidence {
-    /// The list of machines doesn't name it.
+    /// It isn't in the list of machines.
     Unlisted,
-    /// Its machine was moved or maintained.
+    /// Its machine was moved or taken for maintenance.
     Taken,
-    /// The list of machines doesn't name it, and an order about its machine had left: it was taken, or has crashed.
+    /// It isn't in the list of machines, and an order for its machine had been sent: either the machine was taken or the
+    /// executor has crashed.
     PerhapsTaken,
-    /// It has started again under its id.
+    /// It has restarted under the same id.
     Restarted,
-    /// It has been silent for so long that all it ran has lapsed.
+    /// It has been silent for so long that the leases of all its runs have lapsed.
     Lapsed,
 }
 
@@ -34,32 +35,32 @@
 pub struct LostRun {
     /// The task.
     pub task: TaskKey,
-    /// Number of the start.
+    /// The run number.
     pub run: RunNumber,
-    /// How long ago the executor confirmed the start; none if it never did, or to an earlier owner.
-    pub age: Option<Duration>,
+    /// Time since the executor confirmed the start; none if it didn't, or confirmed it to a previous owner.
+    pub confirmed_age: Option<Duration>,
 }
 
-/// An executor that had tasks when its life was over.
+/// An executor that was lost with runs on it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ExecutorLoss {
     /// The executor.
     pub executor: ExecutorId,
-    /// How it is known.
+    /// The evidence of the loss.
     pub evidence: LossEvidence,
-    /// How long ago it answered last; none if it never did under this ownership.
+    /// Time since its last answer; none if it never answered this owner.
     pub silent_for: Option<Duration>,
-    /// The runs that were ordered there.
+    /// The runs that had been ordered there.
     pub runs: Vec<LostRun>,
 }
 
 impl Fleet {
-    /// Executors that were lost with tasks since the last call.
+    /// Takes the executors that were lost with runs on them since the last call.
     pub fn take_executor_losses(&mut self) -> Vec<ExecutorLoss> {
         std::mem::take(&mut self.losses)
     }
 
-    /// Releases what ran on an executor, and blames it if the executor may have crashed.
+    /// Releases the runs of a lost executor, and counts the loss against them if it may have crashed.
     pub(super) fn release_lost_executor(
         &mut self,
         now: Now,
@@ -69,22 +70,23 @@
         let Some(executor) = self.executors.get(id) else { return };
         let signs = executor.last_signs();
         let is_lapsed = evidence == LossEvidence::Lapsed;
-        // The registry names it for seconds more, and each list of machines says again that it is gone.
-        let is_news = !executor.is_over;
+        // The loss is reported repeatedly: the registry still has the executor for seconds, and each list of machines
+        // shows again that it is missing.
+        let is_first_notice = !executor.is_over;
         let ordered_at = self.machines.ordered_at(id);
-        let crash = executor.crash_by(now, evidence, ordered_at);
+        let crash = executor.crash_likelihood(now, evidence, ordered_at);
         let tasks: Vec<TaskRef> = executor.tasks.iter().cloned().collect();
         self.note_loss(now, id, evidence, &tasks);
         if is_lapsed {
             self.machines.note_lapsed(id);
         }
-        if is_news && crash != Certainty::No {
-            self.note_crash(now, id, crash == Certainty::Yes, signs, &tasks);
+        if is_first_notice && crash != Likelihood::Excluded {
+            self.note_crash(now, id, crash == Likelihood::Certain, signs, &tasks);
         }
         tasks.iter().for_each(|task| self.end_run(now, task, None));
     }
 
-    /// Notes for the log which runs are lost.
+    /// Records the lost runs for the log.
     pub(super) fn note_loss(
         &mut self,
         now: Now,
@@ -102,7 +104,7 @@
                 is_ordered.then(|| LostRun {
                     task: job.key(*index),
                     run: task.run,
-                    age: age(now, task),
+                    confirmed_age: confirmed_age(now, task),
                 })
             })
             .collect();
@@ -114,39 +116,46 @@
     }
 }
 
-/// Whether something is so.
+/// How likely it is that a lost executor has crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Certainty {
-    No,
-    Perhaps,
-    Yes,
+enum Likelihood {
+    Excluded,
+    Possible,
+    Certain,
 }
 
 impl Executor {
-    /// Whether an executor that is lost has crashed: it wasn't taken away, had said nothing of leaving, and isn't
-    /// merely cut off. `ordered_at` is when an order about its machine left.
-    fn crash_by(&self, now: Now, evidence: LossEvidence, ordered_at: Option<Now>) -> Certainty {
+    /// Returns how likely a lost executor has crashed, rather than been taken with its machine, drained, or partitioned.
+    /// `ordered_at` is when an order for its machine was sent.
+    fn crash_likelihood(
+        &self,
+        now: Now,
+        evidence: LossEvidence,
+        ordered_at: Option<Now>,
+    ) -> Likelihood {
         if self.info.as_ref().is_some_and(|info| info.is_draining) {
-            return Certainty::No;
+            return Likelihood::Excluded;
         }
         let heard_at = self.heard_at().unwrap_or(self.known_at);
         let fell_silent_before = |at: Now| self.failed_at.is_some_and(|failed_at| failed_at < at);
         match evidence {
-            LossEvidence::PerhapsTaken => Certainty::Perhaps,
-            LossEvidence::Taken if ordered_at.is_some_and(fell_silent_before) => Certainty::Perhaps,
-            LossEvidence::Taken => Certainty::No,
-            LossEvidence::Lapsed if self.is_listed || self.named_at + NAMED_LATELY >= now => {
-                Certainty::No
+            LossEvidence::PerhapsTaken => Likelihood::Possible,
+            LossEvidence::Taken if ordered_at.is_some_and(fell_silent_before) => {
+                Likelihood::Possible
+            }
+            LossEvidence::Taken => Likelihood::Excluded,
+            LossEvidence::Lapsed if self.is_listed || self.named_at + RECENTLY_LISTED >= now => {
+                Likelihood::Excluded
             }
-            LossEvidence::Lapsed if self.named_at > heard_at => Certainty::Perhaps,
+            LossEvidence::Lapsed if self.named_at > heard_at => Likelihood::Possible,
             LossEvidence::Unlisted | LossEvidence::Restarted | LossEvidence::Lapsed => {
-                Certainty::Yes
+                Likelihood::Certain
             }
         }
     }
 }
 
-fn age(now: Now, task: &Task) -> Option<Duration> {
+fn confirmed_age(now: Now, task: &Task) -> Option<Duration> {
     let confirmed_at = task.confirmed_at.filter(|at| *at > Now::ZERO)?;
     Some(now.saturating_sub(confirmed_at))
 }
--- a/crates/jackdawpier_fleet/src/fleet/reports.rs
+++ b/crates/jackdawpier_fleet/src/fleet/reports.rs
@@ -160,7 +160,7 @@
             EndKind::Done | EndKind::Failed if is_long_running => None,
             EndKind::Done => Some(TaskOutcome::Done),
             EndKind::Failed if is_gang => {
-                self.note_gang_failure(&end.task.job, slot, end.run);
+                self.record_gang_failure(&end.task.job, slot, end.run);
                 None
             }
             EndKind::Failed => Some(TaskOutcome::Failed),
@@ -334,7 +334,7 @@
                 }
                 Phase::Starting { .. } if task.unanswered_at.is_some_and(|at| sent_at > at) => {
                     self.stop_task(now, &task_ref, StopReason::StartUnsure);
-                    self.stop_members(now, &task_ref);
+                    self.stop_other_members(now, &task_ref);
                 }
                 // The start was confirmed before the request was sent, yet the run is neither
                 // running nor ended: stop it to be certain.
--- a/crates/jackdawpier_fleet/src/fleet/runs.rs
+++ b/crates/jackdawpier_fleet/src/fleet/runs.rs
@@ -62,7 +62,7 @@
     /// short.
     pub(super) fn end_run(&mut self, now: Now, task_ref: &TaskRef, outcome: Option<TaskOutcome>) {
         let (id, index) = (&task_ref.0, task_ref.1);
-        let is_gang_done = outcome.is_none() && self.gang_is_done(task_ref);
+        let is_gang_done = outcome.is_none() && self.is_gang_done(task_ref);
         let outcome = if is_gang_done { Some(TaskOutcome::Done) } else { outcome };
         let Some(job) = self.jobs.get_mut(id) else { return };
         if let Some(executor) = job.tasks[index].phase.executor().cloned()
@@ -111,7 +111,7 @@
             Retry::After(pause) => self.back_off(now, task_ref, Some(pause)),
             Retry::Never => self.back_off(now, task_ref, None),
         }
-        self.stop_members(now, task_ref);
+        self.stop_other_members(now, task_ref);
     }
 }
 
--- a/crates/jackdawpier_fleet/tests/lost_executors.rs
+++ b/crates/jackdawpier_fleet/tests/lost_executors.rs
@@ -183,5 +183,9 @@
     assert_eq!((&losses[0].executor, losses[0].evidence), (&gone, LossEvidence::Unlisted));
     let run = &losses[0].runs[0];
     assert_eq!((&*run.task.job, run.run), ("j", 1));
-    assert!(run.age.is_some_and(|age| age >= Duration::from_secs(1)), "{:?}", run.age);
+    assert!(
+        run.confirmed_age.is_some_and(|age| age >= Duration::from_secs(1)),
+        "{:?}",
+        run.confirmed_age
+    );
 }
