--- a/crates/jackdawpier_bench/src/owner.rs
+++ b/crates/jackdawpier_bench/src/owner.rs
@@ -11,7 +11,7 @@
 use jackdawpier_fleet::{
     executor::{EndKind, EndedTask, ExecutorInfo, HoldReport, RunningTask},
     fleet::{Command, Fleet, FleetSettings, StartOutcome},
-    machines::{MachineInfo, MachineOrderEnd, MachineState},
+    machines::{MachineInfo, MachineOrderOutcome, MachineState},
     spec::{JobSpec, Queue, Resources, Service, StepSpec, Submission, TaskKey},
 };
 use jackdawpier_kernel::ids::ExecutorId;
@@ -125,7 +125,7 @@
                     sequence: executor.next_end,
                     task: one.task,
                     run: one.run,
-                    how: EndKind::Done,
+                    kind: EndKind::Done,
                     checkpoint: "".into(),
                 });
                 self.cost.done += 1;
@@ -146,11 +146,11 @@
                 task: one.task.clone(),
                 run: one.run,
                 checkpoint: "".into(),
-                percent: 100,
+                speed_percent: 100,
                 gauge: 0,
             });
             let report = HoldReport {
-                life: None,
+                incarnation: None,
                 clock: now,
                 running: running.collect(),
                 ended: executor.ended.clone(),
@@ -178,7 +178,7 @@
                 }
                 // Pools stay as they are, so that a burst meets a full one.
                 Command::Machine(order) => {
-                    self.fleet.machine_order_ended(now, &order, MachineOrderEnd::Busy);
+                    self.fleet.machine_order_ended(now, &order, MachineOrderOutcome::Busy);
                 }
                 _ => {}
             }
@@ -251,7 +251,7 @@
     let rack = format!("rack-{}", number / 8);
     ExecutorInfo {
         id: format!("i-{number:04}").into(),
-        life: None,
+        incarnation: None,
         service: format!("pool-{}", number / load.per_pool).into(),
         address: "10.0.0.1:1".into(),
         zone: "zone".into(),
--- a/crates/jackdawpier_entry/src/owner/executors.rs
+++ b/crates/jackdawpier_entry/src/owner/executors.rs
@@ -122,14 +122,14 @@
             match answer {
                 Ok(report) => {
                     if !is_heard {
-                        let fields = json!({ "executor": *id, "life": report.life, "running": report.running.len(), "ended": report.ended.len() });
+                        let fields = json!({ "executor": *id, "life": report.incarnation, "running": report.running.len(), "ended": report.ended.len() });
                         self.events.emit("executor_heard", fields);
                     }
                     is_heard = true;
                     let now = clock::now();
                     self.fleet.borrow_mut().hold_answered(now, sent_at, &id, &report);
                     for end in &report.ended {
-                        let fields = json!({ "executor": *id, "task": end.task.to_string(), "run": end.run, "how": format!("{:?}", end.how) });
+                        let fields = json!({ "executor": *id, "task": end.task.to_string(), "run": end.run, "how": format!("{:?}", end.kind) });
                         self.events.emit("task_ended", fields);
                     }
                     let stops = self.fleet.borrow_mut().repeat_stops(now, &id);
--- a/crates/jackdawpier_entry/src/owner/explain.rs
+++ b/crates/jackdawpier_entry/src/owner/explain.rs
@@ -101,8 +101,8 @@
         "executor": **executor,
         "crashes": crashes,
         "confirmed": crash.is_confirmed,
-        "sudden": crash.is_sudden,
-        "shared": crash.is_shared,
+        "sudden": crash.is_at_start,
+        "shared": crash.has_likelier_cause,
     })
 }
 
--- a/crates/jackdawpier_entry/src/owner/machines.rs
+++ b/crates/jackdawpier_entry/src/owner/machines.rs
@@ -2,7 +2,7 @@
 
 use std::{rc::Rc, time::Duration};
 
-use jackdawpier_fleet::machines::{MachineId, MachineOrder, MachineOrderEnd, WaveState};
+use jackdawpier_fleet::machines::{MachineId, MachineOrder, MachineOrderOutcome, WaveState};
 use serde_json::json;
 
 use super::Owner;
@@ -94,7 +94,7 @@
         let end = if may_leave {
             self.platform.order(&order, &self.settings.entry, self.term.fence).await
         } else {
-            MachineOrderEnd::NotTaken
+            MachineOrderOutcome::NotTaken
         };
         self.order_note.over(clock::now(), &order.machine);
         let fields = json!({ "machine": *order.machine, "work": format!("{:?}", order.work), "end": format!("{end:?}"), "left": may_leave });
--- a/crates/jackdawpier_entry/src/ports.rs
+++ b/crates/jackdawpier_entry/src/ports.rs
@@ -10,7 +10,7 @@
     account::Account,
     executor::{ExecutorInfo, HoldReport},
     fleet::{JobView, StartOutcome, StopOutcome},
-    machines::{MachineInfo, MachineOrder, MachineOrderEnd, Wave, WaveState},
+    machines::{MachineInfo, MachineOrder, MachineOrderOutcome, Wave, WaveState},
     spec::{JobSpec, Queue, RunNumber, Service, TaskKey},
 };
 use jackdawpier_kernel::ids::{ExecutorId, Revision};
@@ -212,7 +212,7 @@
         order: &MachineOrder,
         holder: &str,
         fence: u64,
-    ) -> impl Future<Output = MachineOrderEnd>;
+    ) -> impl Future<Output = MachineOrderOutcome>;
 }
 
 /// The executors that may run a step, with their tickets.
--- a/crates/jackdawpier_entry/tests/record_size.rs
+++ b/crates/jackdawpier_entry/tests/record_size.rs
@@ -1,7 +1,7 @@
 //! Whether what is written of a job fits into the store.
 
 use jackdawpier_fleet::{
-    record::{JobRecord, Standing, TaskRecord},
+    record::{JobRecord, TaskRecord, TaskStatus},
     spec::{MAX_TASKS_PER_JOB, RunNumber},
 };
 
@@ -10,8 +10,8 @@
 
 fn placed_task() -> TaskRecord {
     TaskRecord {
-        standing: Standing::Placed("i-0123456789abcdef".into()),
-        placed_in: Some(1_796_331_053_676),
+        status: TaskStatus::Placed("i-0123456789abcdef".into()),
+        placed_incarnation: Some(1_796_331_053_676),
         run: RunNumber::MAX,
         failed_runs: vec![1],
         checkpoint: "0123456789abcdef".into(),
--- a/crates/jackdawpier_entry/tests/support/fake/outside.rs
+++ b/crates/jackdawpier_entry/tests/support/fake/outside.rs
@@ -13,7 +13,7 @@
 use jackdawpier_fleet::{
     executor::{EndKind, EndedTask, ExecutorInfo, HoldReport},
     fleet::{JobView, StartOutcome, StopOutcome},
-    machines::{MachineInfo, MachineOrder, MachineOrderEnd, MachineState, Wave, WaveState},
+    machines::{MachineInfo, MachineOrder, MachineOrderOutcome, MachineState, Wave, WaveState},
     record::JobOutcome,
     spec::{JobSpec, Queue, Resources, RunNumber, Service, TaskKey},
 };
@@ -29,7 +29,7 @@
             sequence: state.starts.len() as u64,
             task: order.task.clone(),
             run: order.run,
-            how: EndKind::Done,
+            kind: EndKind::Done,
             checkpoint: "".into(),
         };
         state.ended.push(end);
@@ -55,7 +55,7 @@
         let mut state = self.0.borrow_mut();
         state.ended.retain(|end| end.sequence > question.acknowledged);
         let ended = state.ended.clone();
-        Ok(HoldReport { life: None, clock: clock::now(), running: Vec::new(), ended })
+        Ok(HoldReport { incarnation: None, clock: clock::now(), running: Vec::new(), ended })
     }
 }
 
@@ -71,11 +71,11 @@
         Ok((1..=self.0.borrow().due).map(info).collect())
     }
 
-    async fn order(&self, order: &MachineOrder, _holder: &str, _fence: u64) -> MachineOrderEnd {
+    async fn order(&self, order: &MachineOrder, _holder: &str, _fence: u64) -> MachineOrderOutcome {
         let note = self.value(keys::MACHINE_ORDERS);
         let note = note.map(|note| String::from_utf8_lossy(&note).into_owned());
         self.0.borrow_mut().machine_orders.push((order.machine.clone(), note));
-        MachineOrderEnd::Taken
+        MachineOrderOutcome::Taken
     }
 }
 
@@ -120,7 +120,7 @@
             number: 1,
             machines: (1..=self.0.borrow().due.max(1)).map(machine).collect(),
             within: Duration::from_secs(20),
-            most_away: self.0.borrow().due.max(1),
+            max_away: self.0.borrow().due.max(1),
         })
     }
 
@@ -130,7 +130,7 @@
         }
         Ok(ExecutorInfo {
             id: key.trim_start_matches(self.executor_prefix()).into(),
-            life: None,
+            incarnation: None,
             service: "service".into(),
             address: "127.0.0.1:1".into(),
             zone: "zone".into(),
--- a/crates/jackdawpier_fleet/src/account.rs
+++ b/crates/jackdawpier_fleet/src/account.rs
@@ -47,7 +47,7 @@
     settings: BTreeMap<AccountName, Account>,
     used: BTreeMap<AccountName, Resources>,
     /// What is counted for a time only, since nobody will say when it has ended.
-    remains: Vec<(Now, AccountName, Resources)>,
+    expiring: Vec<(Now, AccountName, Resources)>,
 }
 
 impl Accounts {
@@ -58,7 +58,7 @@
     }
 
     /// Notes that a run may begin.
-    pub(crate) fn book(&mut self, account: Option<&AccountName>, need: &Resources) {
+    pub(crate) fn add_usage(&mut self, account: Option<&AccountName>, need: &Resources) {
         let Some(account) = account else { return };
         if let Some(used) = self.used.get_mut(account) {
             used.add(need);
@@ -68,7 +68,7 @@
     }
 
     /// Notes that a run has certainly ended.
-    pub(crate) fn unbook(&mut self, account: Option<&AccountName>, need: &Resources) {
+    pub(crate) fn subtract_usage(&mut self, account: Option<&AccountName>, need: &Resources) {
         let used = account.and_then(|account| self.used.get_mut(account));
         if let Some(used) = used {
             used.subtract(need);
@@ -76,15 +76,20 @@
     }
 
     /// Notes that a run of which no end will be heard may go on until `until`.
-    pub(crate) fn book_until(&mut self, until: Now, account: &AccountName, amount: &Resources) {
-        self.book(Some(account), amount);
-        self.remains.push((until, account.clone(), *amount));
+    pub(crate) fn add_usage_until(
+        &mut self,
+        until: Now,
+        account: &AccountName,
+        amount: &Resources,
+    ) {
+        self.add_usage(Some(account), amount);
+        self.expiring.push((until, account.clone(), *amount));
     }
 
     /// Forgets what was counted for a time that is over.
     pub(crate) fn expire(&mut self, now: Now) {
-        let ended: Vec<_> = self.remains.extract_if(.., |(until, ..)| *until <= now).collect();
-        ended.iter().for_each(|(_, account, amount)| self.unbook(Some(account), amount));
+        let ended: Vec<_> = self.expiring.extract_if(.., |(until, ..)| *until <= now).collect();
+        ended.iter().for_each(|(_, account, amount)| self.subtract_usage(Some(account), amount));
     }
 
     /// What an account may have running now.
@@ -110,11 +115,11 @@
 
     /// How much more each account may start.
     pub(crate) fn headroom(&self) -> Headroom<'_> {
-        Headroom { accounts: self, left_millicores: BTreeMap::new() }
+        Headroom { accounts: self, remaining_millicores: BTreeMap::new() }
     }
 
     /// Processor that an account may still start, in thousandths of a core.
-    pub(crate) fn left_millicores(&self, account: Option<&AccountName>) -> u64 {
+    pub(crate) fn remaining_millicores(&self, account: Option<&AccountName>) -> u64 {
         let settings = account.and_then(|account| self.settings.get(account));
         let Some(settings) = settings else { return u64::MAX };
         let most = settings.cap.cpu_millicores.unwrap_or(u64::MAX);
@@ -127,7 +132,7 @@
 #[derive(Debug)]
 pub(crate) struct Headroom<'a> {
     accounts: &'a Accounts,
-    left_millicores: BTreeMap<&'a AccountName, u64>,
+    remaining_millicores: BTreeMap<&'a AccountName, u64>,
 }
 
 impl<'a> Headroom<'a> {
@@ -136,9 +141,9 @@
         let Some(account) = account else { return millicores };
         let accounts = self.accounts;
         let left = self
-            .left_millicores
+            .remaining_millicores
             .entry(account)
-            .or_insert_with(|| accounts.left_millicores(Some(account)));
+            .or_insert_with(|| accounts.remaining_millicores(Some(account)));
         let taken = millicores.min(*left);
         *left -= taken;
         taken
--- a/crates/jackdawpier_fleet/src/executor.rs
+++ b/crates/jackdawpier_fleet/src/executor.rs
@@ -22,7 +22,7 @@
     /// Its id, which it may keep when it starts again.
     pub id: ExecutorId,
     /// Which of its lives this is; none if it doesn't say.
-    pub life: Option<LifeId>,
+    pub incarnation: Option<IncarnationId>,
     /// The service it belongs to.
     pub service: ServiceName,
     /// Its network address; a later executor may get the same one.
@@ -41,13 +41,13 @@
 
 /// Tells the lives of an executor apart: when it started, in milliseconds since 1970 by its own clock, so
 /// a later one isn't always larger.
-pub type LifeId = u64;
+pub type IncarnationId = u64;
 
 /// What an executor says about itself.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct HoldReport {
     /// Which of its lives this is; none if it doesn't say.
-    pub life: Option<LifeId>,
+    pub incarnation: Option<IncarnationId>,
     /// Its steady clock when it answered.
     pub clock: Duration,
     /// What runs.
@@ -69,7 +69,7 @@
     /// Its newest checkpoint; empty if there is none.
     pub checkpoint: Box<str>,
     /// Share of its full speed, in percent; 0 while it starts up.
-    pub percent: u32,
+    pub speed_percent: u32,
     /// For a task that serves users the tail of its response times in milliseconds; for any other
     /// the processor in use in thousandths of a core. A rough figure for the last half second.
     pub gauge: u64,
@@ -85,7 +85,7 @@
     /// Number of the start.
     pub run: RunNumber,
     /// How it ended.
-    pub how: EndKind,
+    pub kind: EndKind,
     /// The checkpoint it left; empty if there is none.
     pub checkpoint: Box<str>,
 }
@@ -124,16 +124,16 @@
 }
 
 /// Executors' steady clocks may be this much slow (platform's protocol), in thousandths.
-const CLOCK_SLOW_PERMILLE: u32 = 20;
+const MAX_CLOCK_LAG_PERMILLE: u32 = 20;
 /// Added to every judgement that a lease has run out, for the time that ending takes.
 const LAPSE_MARGIN: Duration = Duration::from_millis(250);
 /// An executor that hasn't answered for this long gets no longer leases until it does, so that the
 /// end of its tasks can be foreseen: a little over one long poll and its timeout.
-const RAISE_WHILE_HEARD_WITHIN: Duration = Duration::from_millis(1800);
+const LEASE_RAISE_SILENCE_LIMIT: Duration = Duration::from_millis(1800);
 
 /// The last that was heard of a life.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct LastSigns {
+pub(crate) struct LastContact {
     /// When it last answered anything at all.
     pub(crate) last_answer: Now,
     /// When it first failed to answer after that.
@@ -141,12 +141,12 @@
     /// When a list of machines last named it.
     pub(crate) last_listing: Now,
     /// For how long no list of machines was seen before the one that shows the loss, or until now.
-    pub(crate) unlisted_for: Duration,
+    pub(crate) listing_gap: Duration,
 }
 
 /// A task that may be what earlier executors crashed of, in its first moments here.
 #[derive(Debug)]
-pub(crate) struct Watch {
+pub(crate) struct IsolatedStart {
     pub(crate) task: TaskRef,
     /// Until when; none before its start is confirmed.
     pub(crate) until: Option<Now>,
@@ -158,13 +158,13 @@
     pub(crate) known_at: Now,
     pub(crate) info: Option<ExecutorInfo>,
     /// The life that it was last heard in, or registered with.
-    pub(crate) life: Option<LifeId>,
+    pub(crate) incarnation: Option<IncarnationId>,
     /// Lives that are over.
-    pub(crate) former_lives: Vec<LifeId>,
+    pub(crate) previous_incarnations: Vec<IncarnationId>,
     /// Since when it doesn't answer holds. Until it does, what is said to it holds for any life: neither
     /// a position in the ends nor a time on the clock of the one that is known.
     pub(crate) failed_at: Option<Now>,
-    pub(crate) booked: Resources,
+    pub(crate) allocated: Resources,
     /// It has answered under this ownership, so nothing of an earlier owner can start there.
     pub(crate) is_synced: bool,
     clock: Option<ClockReading>,
@@ -173,76 +173,76 @@
     /// The longest that this process has given.
     granted_until: Option<Duration>,
     /// When everything of earlier owners has lapsed there, even if it never answers.
-    pub(crate) doubt_until: Now,
+    pub(crate) uncertain_until: Now,
     pub(crate) tasks: BTreeSet<TaskRef>,
     /// Room of steps with a bound a executor: tasks here by (job, slot).
-    pub(crate) per_slot: BTreeMap<(JobId, usize), u32>,
+    pub(crate) tasks_per_slot: BTreeMap<(JobId, usize), u32>,
     unacknowledged: VecDeque<PendingAck>,
     acknowledged: u64,
     /// An end must not be acknowledged any more, and so none after it: the task was done here, and
     /// has been started again since. The executor takes no work until its life is over.
     pub(crate) is_frozen: bool,
-    pub(crate) seen: u64,
+    pub(crate) last_processed_end: u64,
     /// While this is watched nothing else starts here.
-    pub(crate) watch: Option<Watch>,
+    pub(crate) isolated_start: Option<IsolatedStart>,
     /// When it last answered anything at all.
     pub(crate) answered_at: Now,
     /// What was known of the end of its former life.
-    pub(crate) former_end: LastSigns,
+    pub(crate) previous_last_contact: LastContact,
     pub(crate) is_listed: bool,
     /// When the last list of machines was asked for that named it.
-    pub(crate) named_at: Now,
+    pub(crate) last_listed_at: Now,
     /// Its life is certainly over, though the registry may name it for seconds more.
-    pub(crate) is_over: bool,
+    pub(crate) has_ended: bool,
     /// No placements before this time, after a refusal or a missing answer.
     pub(crate) avoid_until: Now,
     /// Tasks here that serve users under a bound on their tail.
-    pub(crate) serving: u32,
+    pub(crate) serving_tasks: u32,
     /// Tasks here that use what the others leave.
-    pub(crate) fillers: u32,
+    pub(crate) filler_tasks: u32,
     /// Failures in a row of different jobs, for leaving out an executor that fails all it starts.
-    pub(crate) failures_in_row: u32,
+    pub(crate) consecutive_failures: u32,
 }
 
 impl Executor {
-    pub(crate) fn new(known_at: Now, doubt_until: Now) -> Self {
+    pub(crate) fn new(known_at: Now, uncertain_until: Now) -> Self {
         Self {
             known_at,
             info: None,
-            life: None,
-            former_lives: Vec::new(),
+            incarnation: None,
+            previous_incarnations: Vec::new(),
             failed_at: None,
-            booked: Resources::default(),
+            allocated: Resources::default(),
             is_synced: false,
             clock: None,
             lease_until: None,
             granted_until: None,
-            doubt_until,
+            uncertain_until,
             tasks: BTreeSet::new(),
-            per_slot: BTreeMap::new(),
+            tasks_per_slot: BTreeMap::new(),
             unacknowledged: VecDeque::new(),
             acknowledged: 0,
             is_frozen: false,
-            seen: 0,
-            watch: None,
+            last_processed_end: 0,
+            isolated_start: None,
             answered_at: Now::ZERO,
-            former_end: LastSigns::default(),
+            previous_last_contact: LastContact::default(),
             is_listed: false,
-            named_at: Now::ZERO,
-            is_over: false,
+            last_listed_at: Now::ZERO,
+            has_ended: false,
             avoid_until: Now::ZERO,
-            serving: 0,
-            fillers: 0,
-            failures_in_row: 0,
+            serving_tasks: 0,
+            filler_tasks: 0,
+            consecutive_failures: 0,
         }
     }
 
-    pub(crate) fn last_signs(&self) -> LastSigns {
-        LastSigns {
+    pub(crate) fn last_contact(&self) -> LastContact {
+        LastContact {
             last_answer: self.answered_at,
             first_failure: self.failed_at,
-            last_listing: self.named_at,
-            unlisted_for: Duration::ZERO,
+            last_listing: self.last_listed_at,
+            listing_gap: Duration::ZERO,
         }
     }
 
@@ -251,52 +251,61 @@
         self.info.as_ref().map(|info| info.service.clone())
     }
 
-    pub(crate) fn is_watching(&self, now: Now) -> bool {
-        self.watch.as_ref().is_some_and(|watch| watch.until.is_none_or(|until| now < until))
+    pub(crate) fn is_isolating(&self, now: Now) -> bool {
+        self.isolated_start
+            .as_ref()
+            .is_some_and(|isolated_start| isolated_start.until.is_none_or(|until| now < until))
     }
 
     /// Whether it has answered since the task that was watched here had its time, so that it isn't silent because of that
     /// one.
-    pub(crate) fn has_survived_watch(&self) -> bool {
-        let until = self.watch.as_ref().and_then(|watch| watch.until);
+    pub(crate) fn has_answered_since_isolation(&self) -> bool {
+        let until = self.isolated_start.as_ref().and_then(|isolated_start| isolated_start.until);
         until.is_none_or(|until| self.answered_at >= until)
     }
 
     /// A task has begun; if it is watched, it is so for a while from now.
-    pub(crate) fn has_begun(&mut self, now: Now, task: &TaskRef, watched_for: Option<Duration>) {
+    pub(crate) fn note_confirmed_start(
+        &mut self,
+        now: Now,
+        task: &TaskRef,
+        isolation_time: Option<Duration>,
+    ) {
         // Its crashes may have been explained since it was placed.
-        let time = watched_for.unwrap_or_default();
-        if let Some(watch) = self.watch.as_mut().filter(|watch| watch.task == *task) {
-            watch.until.get_or_insert(now + time);
+        let time = isolation_time.unwrap_or_default();
+        if let Some(isolated_start) =
+            self.isolated_start.as_mut().filter(|isolated_start| isolated_start.task == *task)
+        {
+            isolated_start.until.get_or_insert(now + time);
         }
     }
 
     pub(crate) fn free(&self) -> Resources {
-        self.info.as_ref().map_or(Resources::default(), |info| info.capacity.minus(&self.booked))
+        self.info.as_ref().map_or(Resources::default(), |info| info.capacity.minus(&self.allocated))
     }
 
     /// It has started again: all that is known of it counts anew, but for the tasks that were ordered.
-    pub(crate) fn begin_life(&mut self, now: Now, life: LifeId) {
-        let former_end = self.last_signs();
+    pub(crate) fn begin_incarnation(&mut self, now: Now, incarnation: IncarnationId) {
+        let previous_last_contact = self.last_contact();
         let former = std::mem::replace(self, Self::new(now, now));
-        self.former_end = former_end;
+        self.previous_last_contact = previous_last_contact;
         self.info = former.info;
         self.is_listed = former.is_listed;
-        self.booked = former.booked;
+        self.allocated = former.allocated;
         self.tasks = former.tasks;
-        self.watch = former.watch;
-        self.per_slot = former.per_slot;
-        self.serving = former.serving;
-        self.fillers = former.fillers;
-        self.former_lives = former.former_lives;
-        self.former_lives.extend(former.life);
-        self.life = Some(life);
+        self.isolated_start = former.isolated_start;
+        self.tasks_per_slot = former.tasks_per_slot;
+        self.serving_tasks = former.serving_tasks;
+        self.filler_tasks = former.filler_tasks;
+        self.previous_incarnations = former.previous_incarnations;
+        self.previous_incarnations.extend(former.incarnation);
+        self.incarnation = Some(incarnation);
         self.failed_at = Some(now);
     }
 
     /// The executor has answered. A former owner may have given it a lease of the usual length just
     /// before; an order that was meant for a former life, with a time on another clock, the longest.
-    pub(crate) fn heard(
+    pub(crate) fn note_answer(
         &mut self,
         now: Now,
         executor_clock: Duration,
@@ -305,7 +314,7 @@
     ) {
         self.answered_at = now;
         self.failed_at = None;
-        let first = if self.former_lives.is_empty() { usual_lease } else { longest_lease };
+        let first = if self.previous_incarnations.is_empty() { usual_lease } else { longest_lease };
         self.lease_until.get_or_insert(executor_clock + first);
         // Answers overtake each other: an older reading is no news.
         if self.clock.is_none_or(|last| last.executor_clock <= executor_clock) {
@@ -313,7 +322,7 @@
         }
     }
 
-    pub(crate) fn heard_at(&self) -> Option<Now> {
+    pub(crate) fn clock_read_at(&self) -> Option<Now> {
         self.clock.map(|reading| reading.at)
     }
 
@@ -323,7 +332,7 @@
         let reading = self.clock?;
         let silent_for = now.saturating_sub(reading.at);
         let raised_by =
-            if silent_for > RAISE_WHILE_HEARD_WITHIN { Duration::ZERO } else { silent_for };
+            if silent_for > LEASE_RAISE_SILENCE_LIMIT { Duration::ZERO } else { silent_for };
         // What may have been given before isn't given again: a later owner counts on leases of the usual length.
         let until = reading.executor_clock + raised_by + lease;
         self.granted_until = self.granted_until.max(Some(until));
@@ -334,12 +343,12 @@
     /// Whether all that this process ever started here has lapsed.
     pub(crate) fn has_lapsed(&self, now: Now) -> bool {
         let Some(reading) = self.clock else {
-            return now >= self.doubt_until;
+            return now >= self.uncertain_until;
         };
-        let slow = now.saturating_sub(reading.at) * (1000 - CLOCK_SLOW_PERMILLE) / 1000;
+        let slow = now.saturating_sub(reading.at) * (1000 - MAX_CLOCK_LAG_PERMILLE) / 1000;
         let clock_at_least = reading.executor_clock + slow;
         self.lease_until.is_some_and(|until| clock_at_least >= until + LAPSE_MARGIN)
-            && (self.is_synced || now >= self.doubt_until)
+            && (self.is_synced || now >= self.uncertain_until)
     }
 
     pub(crate) fn note_end(&mut self, sequence: u64, job: JobId, needed_changes: u64) {
--- a/crates/jackdawpier_fleet/src/fleet.rs
+++ b/crates/jackdawpier_fleet/src/fleet.rs
@@ -68,8 +68,8 @@
     machines::Machines,
     policy::Policy,
     record::JobOutcome,
+    sorted_hash_map::SortedHashMap,
     spec::{Label, Queue, QueueName, RunNumber, Service, TaskKey},
-    table::Table,
 };
 
 /// Timing bounds and policy of the owner's decisions.
@@ -122,12 +122,12 @@
     queues: BTreeMap<QueueName, Queue>,
     services: BTreeMap<ServiceName, Service>,
     accounts: Accounts,
-    jobs: Table<JobId, Job>,
+    jobs: SortedHashMap<JobId, Job>,
     /// Jobs that haven't ended, by queue.
     open_jobs: BTreeMap<QueueName, BTreeSet<JobId>>,
     /// Repeated jobs with further occurrences.
     scheduled: BTreeSet<JobId>,
-    executors: Table<ExecutorId, Executor>,
+    executors: SortedHashMap<ExecutorId, Executor>,
     by_service: BTreeMap<ServiceName, Vec<ExecutorId>>,
     changed_jobs: VecDeque<JobId>,
     /// Ended jobs with the time of their end, oldest first.
@@ -171,10 +171,10 @@
             queues: BTreeMap::new(),
             services: BTreeMap::new(),
             accounts: Accounts::default(),
-            jobs: Table::default(),
+            jobs: SortedHashMap::default(),
             open_jobs: BTreeMap::new(),
             scheduled: BTreeSet::new(),
-            executors: Table::default(),
+            executors: SortedHashMap::default(),
             by_service: BTreeMap::new(),
             changed_jobs: VecDeque::new(),
             ended_jobs: VecDeque::new(),
@@ -232,7 +232,7 @@
         let Some(job) = self.jobs.get(id) else {
             return self.inherited_ended_jobs.get(id).map(|ended| JobView::Over(ended.outcome));
         };
-        Some(match job.shown {
+        Some(match job.durable_outcome {
             Some(outcome) => JobView::Over(outcome),
             None if job.has_begun => JobView::Running,
             None => JobView::Queued,
@@ -242,7 +242,7 @@
     /// Whether a job has ended and its end isn't known to be durable yet. Its record may already be
     /// stored, so other readers may see the end.
     pub fn is_ending(&self, id: &str) -> bool {
-        self.jobs.get(id).is_some_and(|job| job.is_over() && job.shown.is_none())
+        self.jobs.get(id).is_some_and(|job| job.is_over() && job.durable_outcome.is_none())
     }
 
     /// Returns the client account of a job, or `None` if the job is unknown.
--- a/crates/jackdawpier_fleet/src/fleet/commits.rs
+++ b/crates/jackdawpier_fleet/src/fleet/commits.rs
@@ -10,7 +10,7 @@
 use super::{Command, Fleet};
 use crate::{
     job::{Phase, Task},
-    order::objective,
+    job_rank::objective,
     record::{JobOutcome, JobRecord},
     spec::{QueueName, TaskKey},
 };
@@ -90,7 +90,7 @@
                 job: id,
                 record: job.record(),
                 revision: job.revision,
-                is_ending: job.is_over() && job.shown.is_none(),
+                is_ending: job.is_over() && job.durable_outcome.is_none(),
                 is_cancelled: job.is_cancelled,
                 changes: job.changes,
             };
@@ -119,10 +119,11 @@
             job.is_writing = false;
             job.revision = revision;
             job.durable_changes = written.changes;
-            let settled = job.unsettled.extract_if(.., |(needed, _)| *needed <= written.changes);
+            let settled =
+                job.unacknowledged_ends.extract_if(.., |(needed, _)| *needed <= written.changes);
             self.acknowledgeable.extend(settled.map(|(_, executor)| executor));
             if let Some(outcome) = record.outcome {
-                let is_first_time = job.shown.replace(outcome).is_none();
+                let is_first_time = job.durable_outcome.replace(outcome).is_none();
                 if is_first_time {
                     self.record_finished_job(now, id, outcome);
                 }
@@ -140,7 +141,7 @@
             job: id.clone(),
             queue: job.queue.clone(),
             outcome,
-            duration: now.saturating_sub(job.next_began_at()),
+            duration: now.saturating_sub(job.next_occurrence_began_at()),
             objective: queue.map(|queue| objective(job, queue)).unwrap_or_default(),
             most_failures: most_failed.map_or(0, Task::failures),
             most_crashes: job.tasks.iter().map(|task| task.crashes().len()).max().unwrap_or(0),
@@ -163,7 +164,7 @@
         for (index, written) in record.tasks.iter().enumerate() {
             let Phase::Planned { executor } = &job.tasks[index].phase else { continue };
             let is_this_run = written.run == job.tasks[index].run;
-            if !is_this_run || written.standing != crate::record::Standing::Placed(executor.clone())
+            if !is_this_run || written.status != crate::record::TaskStatus::Placed(executor.clone())
             {
                 continue;
             }
--- a/crates/jackdawpier_fleet/src/fleet/crash_attribution.rs
+++ b/crates/jackdawpier_fleet/src/fleet/crash_attribution.rs
@@ -13,8 +13,8 @@
     Fleet, placement::has_room_for, placement_round::PlacementRound, recent_crashes::ExecutorCrash,
 };
 use crate::{
-    crash::{Crash, Lived},
-    executor::{Executor, LastSigns, TaskRef, Watch},
+    crash::{Crash, RunTimeBounds},
+    executor::{Executor, IsolatedStart, LastContact, TaskRef},
     job::{Job, Phase, Task, TaskIndex},
     record::JobOutcome,
     spec::{RunNumber, StepSpec, TaskKey},
@@ -87,10 +87,10 @@
         now: Now,
         id: &ExecutorId,
         is_certain: bool,
-        signs: LastSigns,
+        signs: LastContact,
         tasks: &[TaskRef],
     ) {
-        let signs = LastSigns { unlisted_for: self.machines.unlisted_for(now), ..signs };
+        let signs = LastContact { listing_gap: self.machines.listing_gap(now), ..signs };
         let crashes: Vec<(&TaskRef, Crash)> = tasks
             .iter()
             .filter_map(|one| {
@@ -106,7 +106,7 @@
         self.recent_crashes.note(ExecutorCrash {
             at: now,
             service: self.executors.get(id).and_then(Executor::service),
-            is_watched: isolated.is_some(),
+            is_isolated: isolated.is_some(),
             is_spontaneous,
             runs,
         });
@@ -124,12 +124,12 @@
             // A run whose start was never confirmed may not have begun at all.
             let has_likelier_cause = match (run_time, shortest) {
                 (Some(run_time), Some(shortest)) => {
-                    !crash.is_sudden && run_time > shortest + START_CRASH_WINDOW
+                    !crash.is_at_start && run_time > shortest + START_CRASH_WINDOW
                 }
                 _ => has_recent_start,
             };
-            crash.is_shared |= has_likelier_cause && self.settings.policy.weighs_life;
-            crash.is_watched = self.start_confirmed_here(task_ref)
+            crash.has_likelier_cause |= has_likelier_cause && self.settings.policy.weighs_run_time;
+            crash.is_isolated = self.start_confirmed_here(task_ref)
                 && isolated.as_ref().is_some_and(|one| self.is_same_task_or_gang(one, task_ref));
             self.attribute_crash(id, task_ref, crash);
         }
@@ -137,12 +137,12 @@
 
     /// Returns the time between the confirmation of a task's start and the executor's last answer; none if
     /// the start was never confirmed.
-    fn confirmed_run_time(&self, task_ref: &TaskRef, signs: LastSigns) -> Option<Duration> {
+    fn confirmed_run_time(&self, task_ref: &TaskRef, signs: LastContact) -> Option<Duration> {
         self.task(task_ref).and_then(|task| run_time(task, signs))
     }
 
     /// Returns for how long this owner has observed a task running.
-    fn observed_run_time(&self, task_ref: &TaskRef, signs: LastSigns) -> Duration {
+    fn observed_run_time(&self, task_ref: &TaskRef, signs: LastContact) -> Duration {
         let confirmed_at = self.task(task_ref).and_then(|task| task.confirmed_at);
         let observed_from = confirmed_at.map(|at| at.max(self.started_at));
         observed_from.map(|at| signs.last_answer.saturating_sub(at)).unwrap_or_default()
@@ -178,8 +178,8 @@
     }
 
     /// Returns the task that ran in isolation on an executor when the executor last answered.
-    fn isolated_task(&self, id: &ExecutorId, signs: LastSigns) -> Option<TaskRef> {
-        let watch = self.executors.get(id)?.watch.as_ref()?;
+    fn isolated_task(&self, id: &ExecutorId, signs: LastContact) -> Option<TaskRef> {
+        let watch = self.executors.get(id)?.isolated_start.as_ref()?;
         let is_active = watch.until.is_none_or(|until| signs.last_answer < until);
         is_active.then(|| watch.task.clone())
     }
@@ -209,7 +209,7 @@
         id: &ExecutorId,
         running: impl Iterator<Item = &'a TaskRef>,
     ) {
-        let Some(signs) = self.executors.get(id).map(Executor::last_signs) else { return };
+        let Some(signs) = self.executors.get(id).map(Executor::last_contact) else { return };
         let is_cleared = |task: &&TaskRef| {
             self.is_long_running_task(task)
                 && self.observed_run_time(task, signs) >= CLEARING_RUN_TIME
@@ -221,7 +221,7 @@
     /// Returns whether a task has to start in isolation.
     pub(super) fn is_suspect(&self, job: &Job, index: TaskIndex) -> bool {
         let lasts = job.step(index).is_long_running;
-        job.tasks[index].watched_for(lasts).is_some() && self.settings.policy.watches_suspects
+        job.tasks[index].isolation_time(lasts).is_some() && self.settings.policy.isolates_suspects
     }
 
     /// Returns whether a suspect may start on an executor: the executor has answered recently, so that a
@@ -234,9 +234,10 @@
         index: TaskIndex,
     ) -> bool {
         let has_answered_recently = executor.answered_at + MAX_SILENCE_BEFORE_ORDER >= now;
-        let is_retry_allowed = !job.is_on_trial(index) || self.may_start_probation(now, job, index);
+        let is_retry_allowed =
+            !job.is_on_probation(index) || self.may_start_probation(now, job, index);
         let is_eligible =
-            has_answered_recently && executor.has_survived_watch() && is_retry_allowed;
+            has_answered_recently && executor.has_answered_since_isolation() && is_retry_allowed;
         is_eligible && self.unproven_task_count(executor, job, index) == 0
     }
 
@@ -278,7 +279,7 @@
             .iter()
             .filter_map(|id| Some((id, self.executors.get(id)?)))
             .filter(|(_, executor)| has_room_for(executor, job, index, None))
-            .filter(|(_, executor)| !executor.is_watching(now))
+            .filter(|(_, executor)| !executor.is_isolating(now))
             .min_by_key(|(id, executor)| (self.unproven_task_count(executor, job, index), *id))
             .map(|(id, _)| id.clone());
         if let Some(target) = target {
@@ -291,7 +292,8 @@
     pub(super) fn isolate_start(&mut self, executor: &ExecutorId, id: &JobId, index: TaskIndex) {
         let is_suspect = self.jobs.get(id).is_some_and(|job| self.is_suspect(job, index));
         if let Some(executor) = self.executors.get_mut(executor).filter(|_| is_suspect) {
-            executor.watch = Some(Watch { task: (id.clone(), index), until: None });
+            executor.isolated_start =
+                Some(IsolatedStart { task: (id.clone(), index), until: None });
         }
     }
 
@@ -300,14 +302,17 @@
     pub(super) fn give_up(&mut self, now: Now, task_ref: &TaskRef) {
         let Some(job) = self.jobs.get_mut(&task_ref.0) else { return };
         let task = &job.tasks[task_ref.1];
-        if job.is_over() || task.is_given_up || !task.crashes_too_often(job.lasts()) {
+        if job.is_over()
+            || task.is_given_up
+            || !task.is_given_up_after_crashes(job.has_long_running_tasks())
+        {
             return;
         }
         let given_up = GivenUpTask {
             task: job.key(task_ref.1),
             run: task.run,
             crashes: task.crashes().len(),
-            job_goes_on: job.lasts(),
+            job_goes_on: job.has_long_running_tasks(),
         };
         job.tasks[task_ref.1].is_given_up = true;
         self.clear_co_located_crashes(task_ref);
@@ -323,15 +328,15 @@
 /// Returns how long other tasks must have run before a suspect may start beside them. A long-running
 /// suspect can wait until a neighbour that crashes its executor would have done so.
 fn required_run_time(job: &Job, index: TaskIndex) -> Duration {
-    let watched_for = job.tasks[index].watched_for(true);
-    watched_for
+    let isolation_time = job.tasks[index].isolation_time(true);
+    isolation_time
         .filter(|_| job.step(index).is_long_running)
         .map_or(START_CRASH_WINDOW, |time| time.max(CLEARING_RUN_TIME))
 }
 
 /// Returns the time between the confirmation of a task's start and the executor's last answer; none if
 /// the start was never confirmed.
-fn run_time(task: &Task, signs: LastSigns) -> Option<Duration> {
+fn run_time(task: &Task, signs: LastContact) -> Option<Duration> {
     task.confirmed_at.map(|at| signs.last_answer.saturating_sub(at))
 }
 
@@ -341,13 +346,13 @@
     now: Now,
     task: &Task,
     step: &StepSpec,
-    signs: LastSigns,
+    signs: LastContact,
     is_certain: bool,
 ) -> Option<Crash> {
     let run_time = run_time(task, signs);
     let may_have_begun = match task.phase {
         Phase::Planned { .. } => false,
-        Phase::Doubt { .. } => true,
+        Phase::Inherited { .. } => true,
         _ => run_time.is_some() || signs.last_answer + MAX_SILENCE_BEFORE_ORDER >= task.ordered_at,
     };
     if !may_have_begun {
@@ -356,40 +361,40 @@
     let was_unresponsive =
         run_time.is_none() && signs.first_failure.is_some_and(|at| at <= task.ordered_at);
     if was_unresponsive || !is_certain {
-        return Some(Crash { run: task.run, is_shared: true, ..Crash::default() });
+        return Some(Crash { run: task.run, has_likelier_cause: true, ..Crash::default() });
     }
-    let may_be_stopped = signs.last_answer < task.may_stop_until;
+    let may_be_stopped = signs.last_answer < task.late_stop_until;
     let is_stopping = may_be_stopped || matches!(task.phase, Phase::Stopping { .. });
     let was_running =
         run_time.is_some() && !is_stopping && !may_have_ended_unreported(now, task, step, signs);
     let is_confirmed = was_running && signs.is_current_until_crash(now);
-    let is_sudden = run_time.is_none_or(|time| time <= START_CRASH_WINDOW);
-    let lived = run_time_bounds(now, task, signs).filter(|_| is_confirmed);
-    Some(Crash { run: task.run, is_confirmed, is_sudden, lived, ..Crash::default() })
+    let is_at_start = run_time.is_none_or(|time| time <= START_CRASH_WINDOW);
+    let bounds = run_time_bounds(now, task, signs).filter(|_| is_confirmed);
+    Some(Crash { run: task.run, is_confirmed, is_at_start, run_time: bounds, ..Crash::default() })
 }
 
 /// Returns whether a run may have ended unreported before its executor crashed: the executor was listed after it had
 /// failed to answer, so it was partitioned, and the run was due to end by now.
-fn may_have_ended_unreported(now: Now, task: &Task, step: &StepSpec, signs: LastSigns) -> bool {
+fn may_have_ended_unreported(now: Now, task: &Task, step: &StepSpec, signs: LastContact) -> bool {
     let was_partitioned = signs.first_failure.is_some_and(|at| signs.last_listing > at);
     was_partitioned && !step.is_long_running && task.ordered_at + step.estimate <= now
 }
 
 /// Returns the bounds of a task's run time at the crash of its executor; none if this owner didn't order the run.
-fn run_time_bounds(now: Now, task: &Task, signs: LastSigns) -> Option<Lived> {
+fn run_time_bounds(now: Now, task: &Task, signs: LastContact) -> Option<RunTimeBounds> {
     let least = run_time(task, signs).filter(|_| task.ordered_at > Now::ZERO)?;
     let most = signs.first_failure.unwrap_or(now).saturating_sub(task.ordered_at);
-    Some(Lived { least_ms: least.as_millis() as u64, most_ms: most.as_millis() as u64 })
+    Some(RunTimeBounds { least_ms: least.as_millis() as u64, most_ms: most.as_millis() as u64 })
 }
 
-impl LastSigns {
+impl LastContact {
     /// Returns whether the executor's last report still held when it crashed: the executor answered shortly before
     /// its first failure to answer, and hasn't been listed since.
     fn is_current_until_crash(&self, now: Now) -> bool {
         let silent_from = self.first_failure.unwrap_or(now);
         let was_listed_later = self.last_listing > silent_from + LISTED_AFTER_SILENCE;
         let is_noticed_in_time = now.saturating_sub(silent_from) <= MAX_REPORT_AGE
-            && self.unlisted_for <= MAX_LISTING_GAP;
+            && self.listing_gap <= MAX_LISTING_GAP;
         silent_from.saturating_sub(self.last_answer) <= MAX_REPORT_AGE
             && is_noticed_in_time
             && !was_listed_later
--- a/crates/jackdawpier_fleet/src/fleet/crash_backoff.rs
+++ b/crates/jackdawpier_fleet/src/fleet/crash_backoff.rs
@@ -9,7 +9,7 @@
 
 use super::Fleet;
 use crate::{
-    crash::{PAUSE_SUSPECT, Retry},
+    crash::{BACKOFF_SUSPECT, Retry},
     executor::TaskRef,
     job::Phase,
     spec::{RunNumber, TaskKey},
@@ -61,7 +61,7 @@
         let (key, run, crashes) = (job.key(task_ref.1), task.run, task.crashes().len());
         self.crash_backoffs.started.push(CrashBackoff { task: key, run, crashes, duration });
         if let Some(delay) = duration {
-            let (earliest_end, until) = (now + delay.min(PAUSE_SUSPECT), now + delay);
+            let (earliest_end, until) = (now + delay.min(BACKOFF_SUSPECT), now + delay);
             self.crash_backoffs.tasks.push(BackedOffTask {
                 task: task_ref.clone(),
                 earliest_end,
@@ -96,7 +96,7 @@
         for BackedOffTask { task: (id, index), .. } in expired {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             if !job.is_over() && !job.is_cancelled && job.tasks[index].phase == Phase::Waiting {
-                job.try_again(now, index);
+                job.enqueue_now(now, index);
             }
         }
     }
--- a/crates/jackdawpier_fleet/src/fleet/defragmentation.rs
+++ b/crates/jackdawpier_fleet/src/fleet/defragmentation.rs
@@ -59,7 +59,7 @@
         let is_too_early =
             self.defragmentations.next_allowed_at.get(service).is_some_and(|at| now < *at);
         let is_under_way = self.defragmentations.active.contains_key(service);
-        if is_too_early || is_under_way || !self.settings.policy.makes_room {
+        if is_too_early || is_under_way || !self.settings.policy.defragments {
             return;
         }
         let Some(stuck) = pools.get(service).and_then(|pool| pool.stuck.as_ref()) else { return };
@@ -111,7 +111,7 @@
     fn is_still_useful(&self, now: Now, defragmentation: &Defragmentation) -> bool {
         let is_available = |id: &ExecutorId| {
             self.executors.get(id).is_some_and(Executor::is_usable)
-                && !self.machines.vacating().any(|vacating| vacating == id)
+                && !self.machines.vacating_executors().any(|vacating| vacating == id)
         };
         now < defragmentation.until
             && self.is_waiting(&defragmentation.task)
@@ -150,8 +150,8 @@
     fn can_stop(&self, now: Now, (id, index): &TaskRef, from: &ExecutorId) -> bool {
         let job = &self.jobs[id];
         let may_miss = job.step(*index).may_miss.max(1);
-        let is_watching = self.executors.get(from).is_some_and(|one| one.is_watching(now));
-        !is_watching && self.tasks_away(now, job, job.slot(*index)) < may_miss
+        let is_isolating = self.executors.get(from).is_some_and(|one| one.is_isolating(now));
+        !is_isolating && self.tasks_away(now, job, job.slot(*index)) < may_miss
     }
 
     fn start_relocated(&mut self, (id, index): &TaskRef, to: &ExecutorId) {
--- a/crates/jackdawpier_fleet/src/fleet/defragmentation_plan.rs
+++ b/crates/jackdawpier_fleet/src/fleet/defragmentation_plan.rs
@@ -54,7 +54,7 @@
 
 impl Candidate {
     fn slots(&self, need: &Resources) -> usize {
-        self.room.count(need).min(self.max_tasks)
+        self.room.fit_count(need).min(self.max_tasks)
     }
 
     /// Returns the tasks to relocate so that one more waiting task fits; none if no relocation achieves that.
@@ -63,7 +63,7 @@
         if wanted > self.max_tasks {
             return None;
         }
-        let is_enough = |room: &Resources| room.count(need) >= wanted;
+        let is_enough = |room: &Resources| room.fit_count(need) >= wanted;
         let single = self.movable.iter().find(|(size, _)| {
             let mut room = self.room;
             room.add(size);
@@ -96,7 +96,7 @@
     ) -> Option<DefragmentationPlan> {
         let job = self.jobs.get(id)?;
         let step = job.step(*index);
-        let (need, wanted) = (step.booked(), start_group_size(step));
+        let (need, wanted) = (step.allocated(), start_group_size(step));
         let mut candidates: Vec<Candidate> =
             executors.iter().filter_map(|one| self.candidate(now, one, job, *index)).collect();
         let mut relocations = Vec::new();
@@ -126,8 +126,8 @@
         let mut movable: Vec<SizedTask> = executor
             .tasks
             .iter()
-            .filter(|task| !executor.is_watching(now) && self.may_relocate(task))
-            .map(|task| (self.jobs[&task.0].step(task.1).booked(), task.clone()))
+            .filter(|task| !executor.is_isolating(now) && self.may_relocate(task))
+            .map(|task| (self.jobs[&task.0].step(task.1).allocated(), task.clone()))
             .collect();
         movable.sort_by_key(|(size, _)| size.cpu_millicores);
         Some(Candidate {
@@ -172,7 +172,7 @@
                 self.plan_moves(from, &tasks, candidates, need, planned)?;
             let mut room = from.room;
             tasks.iter().for_each(|(size, _)| room.add(size));
-            let gained = room.count(need).min(from.max_tasks) - from.slots(need);
+            let gained = room.fit_count(need).min(from.max_tasks) - from.slots(need);
             (gained > lost_slots).then(|| (gained - lost_slots, Reverse(tasks.len()), relocations))
         });
         let best = found.max_by_key(|(gained, count, _)| (*gained, *count));
@@ -198,7 +198,7 @@
                     && size.fits(&rooms[place])
                     && self.can_host(task, &candidate.id, &relocations);
                 let left = rooms[place].minus(size);
-                let slots = |room: &Resources| room.count(need).min(candidate.max_tasks);
+                let slots = |room: &Resources| room.fit_count(need).min(candidate.max_tasks);
                 let lost = slots(&rooms[place]) - slots(&left);
                 can_host.then_some((lost, left.cpu_millicores, place))
             });
@@ -229,7 +229,7 @@
     /// Returns whether an executor has room for a relocated task now.
     pub(super) fn has_room_for_relocated(&self, now: Now, task: &TaskRef, to: &Executor) -> bool {
         let job = &self.jobs[&task.0];
-        !to.is_watching(now) && super::placement::has_room_for(to, job, task.1, None)
+        !to.is_isolating(now) && super::placement::has_room_for(to, job, task.1, None)
     }
 }
 
--- a/crates/jackdawpier_fleet/src/fleet/executors.rs
+++ b/crates/jackdawpier_fleet/src/fleet/executors.rs
@@ -22,18 +22,18 @@
 impl Fleet {
     /// Adds a registered executor, or updates the registry entry of a known one.
     pub fn register_executor(&mut self, now: Now, info: ExecutorInfo) {
-        let doubt_until = self.started_at + self.settings.takeover_uncertainty;
+        let uncertain_until = self.started_at + self.settings.takeover_uncertainty;
         let id = info.id.clone();
         let executor =
-            self.executors.get_or_insert_with(id.clone(), || Executor::new(now, doubt_until));
+            self.executors.get_or_insert_with(id.clone(), || Executor::new(now, uncertain_until));
         let previous = executor.info.as_ref().filter(|_| executor.is_listed);
         let previous_service =
             previous.map(|one| one.service.clone()).filter(|name| *name != info.service);
         let is_new = previous.is_none() || previous_service.is_some();
         executor.is_listed = true;
-        let had_ended = executor.is_over;
+        let had_ended = executor.has_ended;
         executor.note_registered(now, &info);
-        let is_back = had_ended && !executor.is_over;
+        let is_back = had_ended && !executor.has_ended;
         let service = info.service.clone();
         executor.info = Some(info);
         if let Some(previous) = previous_service {
@@ -68,7 +68,7 @@
     /// Replaces the registered executors by `listed`.
     pub fn replace_executors(&mut self, now: Now, listed: Vec<ExecutorInfo>) {
         let ids: BTreeSet<ExecutorId> = listed.iter().map(|info| info.id.clone()).collect();
-        let missing = self.executors.keys_of(|id, one| one.is_listed && !ids.contains(id));
+        let missing = self.executors.keys_where(|id, one| one.is_listed && !ids.contains(id));
         missing.iter().for_each(|id| self.unregister_executor(id));
         listed.into_iter().for_each(|info| self.register_executor(now, info));
         self.expire_executors(now);
@@ -85,11 +85,11 @@
     /// Releases the runs of executors whose leases have lapsed, and forgets executors that are neither
     /// registered nor in use.
     pub fn expire_executors(&mut self, now: Now) {
-        let lapsed = self.executors.keys_of(|id, executor| {
+        let lapsed = self.executors.keys_where(|id, executor| {
             let is_idle = executor.tasks.is_empty();
             let is_silent = !executor.is_synced
                 || executor
-                    .heard_at()
+                    .clock_read_at()
                     .is_none_or(|at| now.saturating_sub(at) > self.settings.lease / 2);
             let is_lost = !executor.is_listed || is_silent;
             is_lost
@@ -100,7 +100,8 @@
         lapsed.iter().for_each(|id| self.release_lost_executor(now, id, LossEvidence::Lapsed));
         let lease = self.settings.lease;
         self.executors.retain(|_, executor| {
-            let is_heard = executor.heard_at().is_some_and(|at| now.saturating_sub(at) < lease);
+            let is_heard =
+                executor.clock_read_at().is_some_and(|at| now.saturating_sub(at) < lease);
             executor.is_listed
                 || !executor.tasks.is_empty()
                 || (executor.has_unacknowledged() && is_heard)
@@ -110,9 +111,9 @@
     /// Returns whether an executor is presumed alive though it doesn't answer, since the connection may be at
     /// fault. Releasing its runs would repeat those that have completed there.
     fn is_presumed_alive(&self, now: Now, id: &ExecutorId, executor: &Executor) -> bool {
-        let silent_since = executor.heard_at().unwrap_or(executor.known_at);
+        let silent_since = executor.clock_read_at().unwrap_or(executor.known_at);
         executor.is_listed
-            && self.machines.has_executor(id)
+            && self.machines.is_executor_listed(id)
             && now.saturating_sub(silent_since) < MAX_SILENCE_WHILE_LISTED
     }
 
@@ -120,9 +121,9 @@
     pub fn executor_ended(&mut self, now: Now, id: &ExecutorId, evidence: LossEvidence) {
         self.release_lost_executor(now, id, evidence);
         if let Some(executor) = self.executors.get_mut(id) {
-            executor.is_over = true;
-            let registered = executor.info.as_ref().and_then(|info| info.life);
-            executor.life = executor.life.or(registered);
+            executor.has_ended = true;
+            let registered = executor.info.as_ref().and_then(|info| info.incarnation);
+            executor.incarnation = executor.incarnation.or(registered);
         }
     }
 
--- a/crates/jackdawpier_fleet/src/fleet/gangs.rs
+++ b/crates/jackdawpier_fleet/src/fleet/gangs.rs
@@ -107,7 +107,7 @@
             let task = &mut job.tasks[*index];
             task.run = run;
             task.confirmed_at = None;
-            task.placed_in = self.executors.get(executor).and_then(|one| one.life);
+            task.placed_incarnation = self.executors.get(executor).and_then(|one| one.incarnation);
             task.checkpoint.clone_from(&checkpoint);
             task.phase = Phase::Planned { executor: executor.clone() };
         }
--- a/crates/jackdawpier_fleet/src/fleet/incarnations.rs
+++ b/crates/jackdawpier_fleet/src/fleet/incarnations.rs
@@ -9,7 +9,7 @@
 
 use super::{Fleet, StopReason, losses::LossEvidence};
 use crate::{
-    executor::{Executor, ExecutorInfo, HoldReport, LifeId, TaskRef},
+    executor::{Executor, ExecutorInfo, HoldReport, IncarnationId, TaskRef},
     job::{Phase, StopOrder},
 };
 
@@ -21,7 +21,7 @@
     /// A previous one: the report was overtaken by later ones.
     Previous,
     /// A new one.
-    New(LifeId),
+    New(IncarnationId),
 }
 
 impl Fleet {
@@ -40,7 +40,7 @@
         id: &ExecutorId,
         report: &HoldReport,
     ) {
-        let evidence = match self.machines.why_gone(id, self.machines.machine_of(id)) {
+        let evidence = match self.machines.loss_evidence(id, self.machines.machine_of(id)) {
             LossEvidence::Unlisted => LossEvidence::Restarted,
             evidence => evidence,
         };
@@ -54,7 +54,7 @@
             })
             .collect();
         let Some(executor) = self.executors.get(id) else { return };
-        let signs = executor.former_end;
+        let signs = executor.previous_last_contact;
         let lost: Vec<TaskRef> =
             executor.tasks.iter().filter(|task| !still_running.contains(*task)).cloned().collect();
         self.note_loss(now, id, evidence, &lost);
@@ -90,25 +90,28 @@
 impl Executor {
     /// Returns which incarnation a report comes from.
     pub(super) fn report_origin(&mut self, report: &HoldReport) -> ReportOrigin {
-        match (self.life, report.life) {
+        match (self.incarnation, report.incarnation) {
             (_, None) => ReportOrigin::Current,
             (None, Some(life)) => {
-                self.life = Some(life);
+                self.incarnation = Some(life);
                 ReportOrigin::Current
             }
             (Some(known), Some(life)) if known == life => ReportOrigin::Current,
-            (Some(_), Some(life)) if self.former_lives.contains(&life) => ReportOrigin::Previous,
+            (Some(_), Some(life)) if self.previous_incarnations.contains(&life) => {
+                ReportOrigin::Previous
+            }
             (Some(_), Some(life)) => ReportOrigin::New(life),
         }
     }
 
     /// Updates the incarnation from the registry. If the known one is over, a new one begins.
     pub(super) fn note_registered(&mut self, now: Now, info: &ExecutorInfo) {
-        let Some(life) = info.life else { return };
-        let is_other = self.life != Some(life) && !self.former_lives.contains(&life);
-        match self.life {
-            None => self.life = Some(life),
-            Some(_) if is_other && self.is_over => self.begin_life(now, life),
+        let Some(life) = info.incarnation else { return };
+        let is_other =
+            self.incarnation != Some(life) && !self.previous_incarnations.contains(&life);
+        match self.incarnation {
+            None => self.incarnation = Some(life),
+            Some(_) if is_other && self.has_ended => self.begin_incarnation(now, life),
             // Its first report settles the runs of the previous incarnation.
             Some(_) if is_other => {
                 self.failed_at.get_or_insert(now);
--- a/crates/jackdawpier_fleet/src/fleet/intake.rs
+++ b/crates/jackdawpier_fleet/src/fleet/intake.rs
@@ -9,7 +9,7 @@
 
 use super::{Fleet, runs::allocate};
 use crate::{
-    executor::{Executor, Watch},
+    executor::{Executor, IsolatedStart},
     job::Job,
     machines::MachineId,
     record::{JobOutcome, JobRecord},
@@ -45,7 +45,7 @@
         {
             let arrivals = self.arrivals.entry(queue.service.clone()).or_default();
             // Work beyond the account's cap per second doesn't count as demand for machines.
-            let max_millicores = self.accounts.left_millicores(submission.account.as_ref());
+            let max_millicores = self.accounts.remaining_millicores(submission.account.as_ref());
             arrivals.add(now, arrived_at, submission.spec.core_ms().min(max_millicores));
         }
         self.recover_job(now, wall_ms, id, submission, None);
@@ -116,7 +116,7 @@
     /// between its order and the last note. These machines get no orders until the noted ones must have
     /// arrived; all others may be ordered at once.
     pub fn recover_orders(&mut self, now: Now, machines: Vec<(MachineId, Duration)>) {
-        self.machines.hold(now, machines);
+        self.machines.restore_recent_orders(now, machines);
     }
 
     /// Counts the usage of runs that an ended job of a previous owner may still have, until they must have
@@ -126,22 +126,23 @@
         let age = Duration::from_millis(wall_ms.saturating_sub(remains.ended_ms));
         if age < self.settings.takeover_uncertainty + MAX_CLOCK_SKEW {
             let until = self.started_at.max(now) + self.settings.takeover_uncertainty;
-            self.accounts.book_until(until, account, &remains.amount);
+            self.accounts.add_usage_until(until, account, &remains.amount);
         }
     }
 
     /// Allocates the resources of the tasks that a previous owner placed.
     fn allocate_inherited_tasks(&mut self, job: &Job) {
-        let doubt_until = self.started_at + self.settings.takeover_uncertainty;
+        let uncertain_until = self.started_at + self.settings.takeover_uncertainty;
         for (index, task) in job.tasks.iter().enumerate() {
             let Some(id) = task.phase.executor() else { continue };
             let is_suspect = self.is_suspect(job, index);
             let executor = self
                 .executors
-                .get_or_insert_with(id.clone(), || Executor::new(self.started_at, doubt_until));
+                .get_or_insert_with(id.clone(), || Executor::new(self.started_at, uncertain_until));
             allocate(executor, &mut self.accounts, job, index);
             if is_suspect {
-                executor.watch = Some(Watch { task: (job.id.clone(), index), until: None });
+                executor.isolated_start =
+                    Some(IsolatedStart { task: (job.id.clone(), index), until: None });
             }
         }
     }
--- a/crates/jackdawpier_fleet/src/fleet/label_need.rs
+++ b/crates/jackdawpier_fleet/src/fleet/label_need.rs
@@ -27,7 +27,7 @@
 impl LabelNeed {
     /// Returns how many tasks of the largest need fit into `room`; 0 if no task waits.
     pub(super) fn tasks_fitting(&self, room: &Resources) -> usize {
-        if self.waiting == 0 { 0 } else { room.count(&self.largest_need) }
+        if self.waiting == 0 { 0 } else { room.fit_count(&self.largest_need) }
     }
 
     /// Returns the number of missing machines, given the room of each machine.
@@ -43,7 +43,7 @@
 
     /// Counts a waiting task of a step.
     pub(super) fn add_waiting(&mut self, step: &StepSpec, is_scarce: bool) {
-        let need = step.booked();
+        let need = step.allocated();
         self.waiting += 1;
         self.need_millicores += need.cpu_millicores;
         self.largest_need.raise_to(&need);
--- a/crates/jackdawpier_fleet/src/fleet/label_reclaim.rs
+++ b/crates/jackdawpier_fleet/src/fleet/label_reclaim.rs
@@ -20,7 +20,9 @@
     pool_view::PoolView,
 };
 use crate::{
-    machines::{Errand, MachineId, MachineInfo, MachineState, MachineWork, Stage},
+    machines::{
+        MachineId, MachineInfo, MachineOperation, MachineState, MachineWork, OperationStage,
+    },
     spec::Label,
 };
 
@@ -65,10 +67,13 @@
         if !self.is_long_shortage(now, to, label) {
             return None;
         }
-        let is_reclaim = |errand: &Errand| {
-            matches!((&errand.work, &errand.stage), (MachineWork::Move(_), Stage::Vacating { .. }))
+        let is_reclaim = |operation: &MachineOperation| {
+            matches!(
+                (&operation.work, &operation.stage),
+                (MachineWork::Move(_), OperationStage::Vacating { .. })
+            )
         };
-        if self.machines.errands.values().filter(|errand| is_reclaim(errand)).count()
+        if self.machines.operations.values().filter(|operation| is_reclaim(operation)).count()
             >= MAX_CONCURRENT_RECLAIMS
         {
             return None;
@@ -82,8 +87,8 @@
                 && info.labels.contains(label)
                 && info.pool != *to
                 && self.may_move(&info.id, to)
-                && !self.machines.errands.contains_key(&info.id)
-                && !self.machines.is_held(now, &info.id);
+                && !self.machines.operations.contains_key(&info.id)
+                && !self.machines.is_locked(now, &info.id);
             let Some(pool) = pools.get(&info.pool).filter(|_| is_movable) else { return false };
             let exceeds_share =
                 || is_below_share && pool.holds_with_label(Some(label)) > shares[&info.pool];
--- a/crates/jackdawpier_fleet/src/fleet/losses.rs
+++ b/crates/jackdawpier_fleet/src/fleet/losses.rs
@@ -68,17 +68,17 @@
         evidence: LossEvidence,
     ) {
         let Some(executor) = self.executors.get(id) else { return };
-        let signs = executor.last_signs();
+        let signs = executor.last_contact();
         let is_lapsed = evidence == LossEvidence::Lapsed;
         // The loss is reported repeatedly: the registry still has the executor for seconds, and each list of machines
         // shows again that it is missing.
-        let is_first_notice = !executor.is_over;
+        let is_first_notice = !executor.has_ended;
         let ordered_at = self.machines.ordered_at(id);
         let crash = executor.crash_likelihood(now, evidence, ordered_at);
         let tasks: Vec<TaskRef> = executor.tasks.iter().cloned().collect();
         self.note_loss(now, id, evidence, &tasks);
         if is_lapsed {
-            self.machines.note_lapsed(id);
+            self.machines.note_executor_ended(id);
         }
         if is_first_notice && crash != Likelihood::Excluded {
             self.note_crash(now, id, crash == Likelihood::Certain, signs, &tasks);
@@ -111,7 +111,7 @@
         if runs.is_empty() {
             return;
         }
-        let silent_for = executor.heard_at().map(|at| now.saturating_sub(at));
+        let silent_for = executor.clock_read_at().map(|at| now.saturating_sub(at));
         self.losses.push(ExecutorLoss { executor: id.clone(), evidence, silent_for, runs });
     }
 }
@@ -136,7 +136,7 @@
         if self.info.as_ref().is_some_and(|info| info.is_draining) {
             return Likelihood::Excluded;
         }
-        let heard_at = self.heard_at().unwrap_or(self.known_at);
+        let clock_read_at = self.clock_read_at().unwrap_or(self.known_at);
         let fell_silent_before = |at: Now| self.failed_at.is_some_and(|failed_at| failed_at < at);
         match evidence {
             LossEvidence::PerhapsTaken => Likelihood::Possible,
@@ -144,10 +144,12 @@
                 Likelihood::Possible
             }
             LossEvidence::Taken => Likelihood::Excluded,
-            LossEvidence::Lapsed if self.is_listed || self.named_at + RECENTLY_LISTED >= now => {
+            LossEvidence::Lapsed
+                if self.is_listed || self.last_listed_at + RECENTLY_LISTED >= now =>
+            {
                 Likelihood::Excluded
             }
-            LossEvidence::Lapsed if self.named_at > heard_at => Likelihood::Possible,
+            LossEvidence::Lapsed if self.last_listed_at > clock_read_at => Likelihood::Possible,
             LossEvidence::Unlisted | LossEvidence::Restarted | LossEvidence::Lapsed => {
                 Likelihood::Certain
             }
--- a/crates/jackdawpier_fleet/src/fleet/maintenance.rs
+++ b/crates/jackdawpier_fleet/src/fleet/maintenance.rs
@@ -8,8 +8,8 @@
 
 use super::{Command, Fleet};
 use crate::machines::{
-    MachineId, MachineInfo, MachineOrder, MachineOrderEnd, MachineState, MachineWork, Stage, Wave,
-    WaveNumber, WaveProgress, WaveState,
+    MachineId, MachineInfo, MachineOrder, MachineOrderOutcome, MachineState, MachineWork,
+    OperationStage, Wave, WaveNumber, WaveProgress, WaveState,
 };
 
 /// Interval of machine planning; machine operations take many times as long.
@@ -36,24 +36,24 @@
         if machines.is_empty() {
             return;
         }
-        let former = self.machines.list(asked_at, machines);
-        for id in self.machines.executors() {
+        let former = self.machines.apply_listing(asked_at, machines);
+        for id in self.machines.listed_executors() {
             if let Some(executor) = self.executors.get_mut(id) {
-                executor.named_at = asked_at;
+                executor.last_listed_at = asked_at;
             }
         }
-        let ended = self.executors.keys_of(|id, executor| {
-            !self.machines.has_executor(id) && asked_at > executor.known_at + REGISTRY_LEAD
+        let ended = self.executors.keys_where(|id, executor| {
+            !self.machines.is_executor_listed(id) && asked_at > executor.known_at + REGISTRY_LEAD
         });
         for executor in &ended {
-            let evidence = self.machines.why_gone(executor, former.get(executor));
+            let evidence = self.machines.loss_evidence(executor, former.get(executor));
             self.executor_ended(now, executor, evidence);
         }
-        let unlisted = self.executors.keys_of(|id, executor| {
+        let unlisted = self.executors.keys_where(|id, executor| {
             let is_there =
                 executor.is_responsive(now) || now < executor.known_at + UNLISTED_TIMEOUT;
-            let is_registered = executor.is_listed && !executor.is_over;
-            is_registered && is_there && !self.machines.has_executor(id)
+            let is_registered = executor.is_listed && !executor.has_ended;
+            is_registered && is_there && !self.machines.is_executor_listed(id)
         });
         self.machines.may_be_occupied = !unlisted.is_empty();
         self.end_operations(asked_at);
@@ -103,13 +103,13 @@
     /// an order that it had already carried out for a previous owner.
     fn end_operations(&mut self, asked_at: Now) {
         let listed = &self.machines.listed;
-        self.machines.errands.retain(|machine, errand| {
+        self.machines.operations.retain(|machine, operation| {
             let Some(info) = listed.get(machine) else { return false };
-            match errand.stage {
-                Stage::Away { since } => {
+            match operation.stage {
+                OperationStage::Away { since } => {
                     asked_at <= since + LISTING_TRANSIT || info.state != MachineState::Up
                 }
-                Stage::Vacating { .. } | Stage::Ordered { .. } => true,
+                OperationStage::Vacating { .. } | OperationStage::Ordered { .. } => true,
             }
         });
     }
@@ -132,14 +132,14 @@
         if progress.is_completed {
             return;
         }
-        let errands = &self.machines.errands;
-        let is_busy = |machine: &MachineId| errands.contains_key(machine);
+        let operations = &self.machines.operations;
+        let is_busy = |machine: &MachineId| operations.contains_key(machine);
         let open: Vec<MachineId> = progress
             .wave
             .machines
             .iter()
-            .filter(|machine| progress.is_open(machine) && !is_busy(machine))
-            .filter(|machine| !self.machines.is_held(now, machine))
+            .filter(|machine| progress.is_pending(machine) && !is_busy(machine))
+            .filter(|machine| !self.machines.is_locked(now, machine))
             .filter(|machine| {
                 self.machines
                     .listed
@@ -148,9 +148,11 @@
             })
             .cloned()
             .collect();
-        let under_way =
-            errands.values().filter(|errand| errand.work == MachineWork::Maintain(number)).count();
-        let most = progress.wave.most_away.max(1);
+        let under_way = operations
+            .values()
+            .filter(|operation| operation.work == MachineWork::Maintain(number))
+            .count();
+        let most = progress.wave.max_away.max(1);
         let left = progress.due.saturating_sub(now).saturating_sub(WAVE_DEADLINE_MARGIN);
         let each = self.settings.maintenance + MACHINE_TURNAROUND;
         let batches = (left.as_secs_f64() / each.as_secs_f64()).max(1.0);
@@ -189,9 +191,9 @@
         let counted: usize = waves.values().map(|progress| progress.wave.machines.len()).sum();
         let slots = waves.iter().map(|(number, progress)| {
             let work = MachineWork::Maintain(*number);
-            let errands = self.machines.errands.values();
-            let away = errands.filter(|one| one.work == work && one.is_away()).count();
-            let most = progress.wave.most_away.max(1);
+            let operations = self.machines.operations.values();
+            let away = operations.filter(|one| one.work == work && one.is_away()).count();
+            let most = progress.wave.max_away.max(1);
             (*number, most.saturating_sub(away + self.away_by_previous_owner(now, progress)))
         });
         let slots = slots.collect();
@@ -205,21 +207,26 @@
         let machines = &self.machines;
         let is_away = |machine: &&MachineId| {
             let state = machines.listed.get(*machine).map(|info| info.state);
-            machines.is_held(now, machine) || state == Some(MachineState::Maintenance)
+            machines.is_locked(now, machine) || state == Some(MachineState::Maintenance)
         };
-        let is_ours = |machine: &MachineId| machines.errands.contains_key(machine);
+        let is_ours = |machine: &MachineId| machines.operations.contains_key(machine);
         progress.wave.machines.iter().filter(is_away).filter(|one| !is_ours(one)).count()
     }
 
     /// Applies the outcome of an order about a machine.
-    pub fn machine_order_ended(&mut self, now: Now, order: &MachineOrder, end: MachineOrderEnd) {
-        let Some(errand) = self.machines.errands.get_mut(&order.machine) else { return };
-        if errand.work != order.work {
+    pub fn machine_order_ended(
+        &mut self,
+        now: Now,
+        order: &MachineOrder,
+        end: MachineOrderOutcome,
+    ) {
+        let Some(operation) = self.machines.operations.get_mut(&order.machine) else { return };
+        if operation.work != order.work {
             return;
         }
         match end {
-            MachineOrderEnd::Taken => {
-                errand.stage = Stage::Away { since: now };
+            MachineOrderOutcome::Taken => {
+                operation.stage = OperationStage::Away { since: now };
                 if let MachineWork::Maintain(number) = order.work
                     && let Some(progress) = self.machines.waves.get_mut(&number)
                 {
@@ -227,16 +234,16 @@
                     self.commands.push(Command::Wave(progress.state()));
                 }
             }
-            MachineOrderEnd::Busy | MachineOrderEnd::NotTaken => {
-                errand.not_before = now + BUSY_RETRY_DELAY;
-                errand.stage = if now < errand.unsure_until {
-                    Stage::Ordered { at: now, is_under_way: false }
+            MachineOrderOutcome::Busy | MachineOrderOutcome::NotTaken => {
+                operation.not_before = now + BUSY_RETRY_DELAY;
+                operation.stage = if now < operation.may_execute_until {
+                    OperationStage::Ordered { at: now, is_in_flight: false }
                 } else {
                     // Nothing was done, so all conditions are checked again.
-                    Stage::Vacating { since: now }
+                    OperationStage::Vacating { since: now }
                 };
             }
-            MachineOrderEnd::Refused => {
+            MachineOrderOutcome::Refused => {
                 match &order.work {
                     MachineWork::Maintain(number) => {
                         if let Some(progress) = self.machines.waves.get_mut(number) {
@@ -248,12 +255,12 @@
                         self.machines.refused_moves.insert(move_to);
                     }
                 }
-                self.machines.errands.remove(&order.machine);
+                self.machines.operations.remove(&order.machine);
             }
-            MachineOrderEnd::Unanswered => {
-                errand.unsure_until = now + self.settings.order_lease;
-                if let Stage::Ordered { is_under_way, .. } = &mut errand.stage {
-                    *is_under_way = false;
+            MachineOrderOutcome::Unanswered => {
+                operation.may_execute_until = now + self.settings.order_lease;
+                if let OperationStage::Ordered { is_in_flight, .. } = &mut operation.stage {
+                    *is_in_flight = false;
                 }
             }
         }
--- a/crates/jackdawpier_fleet/src/fleet/pacing.rs
+++ b/crates/jackdawpier_fleet/src/fleet/pacing.rs
@@ -20,7 +20,7 @@
     /// Adjusts the pace of an executor's filler tasks by the tails in one report.
     pub(super) fn pace_fillers(&mut self, _now: Now, id: &ExecutorId, report: &HoldReport) {
         let Some(executor) = self.executors.get(id) else { return };
-        if executor.fillers == 0 {
+        if executor.filler_tasks == 0 {
             return;
         }
         let worst_percent = self.worst_tail_percent(report);
@@ -42,7 +42,7 @@
             };
             // A pace order may have been lost, so the pace that the executor reports is compared,
             // once the task runs.
-            let is_applied = task.percent == target_percent || task.percent == 0;
+            let is_applied = task.speed_percent == target_percent || task.speed_percent == 0;
             if target_percent != task.pace_percent || !is_applied {
                 task.pace_percent = target_percent;
                 let (run, percent) = (task.run, target_percent);
--- a/crates/jackdawpier_fleet/src/fleet/placement.rs
+++ b/crates/jackdawpier_fleet/src/fleet/placement.rs
@@ -11,7 +11,7 @@
 use crate::{
     executor::Executor,
     job::{Job, Phase, TaskIndex},
-    order::{Rank, objective, rank},
+    job_rank::{Rank, objective, rank},
     spec::{Resources, StepSpec},
 };
 
@@ -153,7 +153,7 @@
         let job = self.jobs.get_mut(id).expect("it was read above");
         job.startable.extend(kept);
         if placed > 0 {
-            job.served_at = Some(now);
+            job.last_placed_at = Some(now);
             self.mark_changed(id);
         }
         placed > 0
@@ -178,11 +178,11 @@
         task.run += 1;
         task.confirmed_at = None;
         task.unanswered_at = None;
-        task.may_stop_until = Now::ZERO;
-        task.listed_at = None;
+        task.late_stop_until = Now::ZERO;
+        task.last_reported_at = None;
         task.phase = Phase::Planned { executor: executor.clone() };
         let chosen = self.executors.get_mut(&executor).expect("just chosen");
-        task.placed_in = chosen.life;
+        task.placed_incarnation = chosen.incarnation;
         allocate(chosen, &mut self.accounts, job, index);
         self.isolate_start(&executor, id, index);
     }
@@ -213,7 +213,7 @@
             .filter_map(|executor_id| {
                 let executor = self.executors.get(executor_id)?;
                 if !has_room_for(executor, job, index, rack)
-                    || executor.is_watching(now)
+                    || executor.is_isolating(now)
                     || (is_suspect && !self.can_isolate(now, executor, job, index))
                 {
                     return None;
@@ -254,15 +254,16 @@
         let Some(queue) = self.queues.get(&job.queue) else { return RemotePlacement::Allowed };
         let remote_estimate = step.estimate.mul_f64(self.settings.remote_factor.max(1.0));
         let rest = job.remaining_estimate().saturating_sub(step.estimate);
-        let due = job.next_began_at() + objective(job, queue);
+        let due = job.next_occurrence_began_at() + objective(job, queue);
         let can_run_near = round.executors.iter().any(|id| {
             let Some(executor) = self.executors.get(id) else { return false };
             let is_near = executor.info.as_ref().is_some_and(|info| {
-                info.rack.as_ref() == Some(data_rack) && step.booked().fits(&info.capacity)
+                info.rack.as_ref() == Some(data_rack) && step.allocated().fits(&info.capacity)
             });
             is_near && is_eligible(executor, job, index)
         });
-        let has_waited = now.saturating_sub(job.tasks[index].waits_since) >= MAX_DATA_LOCALITY_WAIT;
+        let has_waited =
+            now.saturating_sub(job.tasks[index].waiting_since) >= MAX_DATA_LOCALITY_WAIT;
         if now + remote_estimate + rest <= due || !can_run_near || has_waited {
             return RemotePlacement::Allowed;
         }
@@ -284,17 +285,17 @@
         uses_scarce_label: bool,
     ) -> PlacementCost {
         let step = job.step(index);
-        let is_tight = self.settings.policy.fits_tightly;
-        let left = executor.free().minus(&step.booked());
-        let interferes = (step.is_filler && executor.serving > 0)
-            || (step.tail_target.is_some() && executor.fillers > 0);
+        let is_tight = self.settings.policy.uses_best_fit;
+        let left = executor.free().minus(&step.allocated());
+        let interferes = (step.is_filler && executor.serving_tasks > 0)
+            || (step.tail_target.is_some() && executor.filler_tasks > 0);
         let is_bounded = step.is_long_running && step.may_miss > 0;
         PlacementCost {
             exceeds_missable: is_bounded && step_tasks_on(executor, job, index) >= step.may_miss,
-            endangered_tasks: if job.is_on_trial(index) { executor.tasks.len() } else { 0 },
+            endangered_tasks: if job.is_on_probation(index) { executor.tasks.len() } else { 0 },
             blocks_scarce_label: uses_scarce_label && step.is_long_running,
             interferes,
-            is_maintenance_due: step.is_long_running && self.machines.is_due(id),
+            is_maintenance_due: step.is_long_running && self.machines.has_pending_maintenance(id),
             is_remote: is_remote(executor, job, index),
             uses_scarce_label,
             remaining_millicores: if is_tight { left.cpu_millicores } else { 0 },
@@ -361,7 +362,7 @@
     executor
         .info
         .as_ref()
-        .is_some_and(|info| executor.booked.cpu_millicores * 2 <= info.capacity.cpu_millicores)
+        .is_some_and(|info| executor.allocated.cpu_millicores * 2 <= info.capacity.cpu_millicores)
 }
 
 /// Whether an executor can run a task now: checks room, label, rack and the limit on tasks of the
@@ -374,7 +375,7 @@
 ) -> bool {
     let Some(info) = &executor.info else { return false };
     let is_in_rack = rack.is_none_or(|rack| info.rack.as_deref() == Some(rack));
-    job.step(index).booked().fits(&executor.free())
+    job.step(index).allocated().fits(&executor.free())
         && is_in_rack
         && is_eligible(executor, job, index)
 }
@@ -401,7 +402,7 @@
         return 0;
     }
     let step = job.step(index);
-    let fits = room.count(&step.booked());
+    let fits = room.fit_count(&step.allocated());
     match step.max_per_executor {
         0 => fits,
         most => fits.min((most - step_tasks_on(executor, job, index)) as usize),
@@ -410,5 +411,5 @@
 
 /// Returns the number of tasks of the same step and occurrence on an executor.
 pub(super) fn step_tasks_on(executor: &Executor, job: &Job, index: TaskIndex) -> u32 {
-    executor.per_slot.get(&(job.id.clone(), job.slot(index))).copied().unwrap_or(0)
+    executor.tasks_per_slot.get(&(job.id.clone(), job.slot(index))).copied().unwrap_or(0)
 }
--- a/crates/jackdawpier_fleet/src/fleet/placement_round.rs
+++ b/crates/jackdawpier_fleet/src/fleet/placement_round.rs
@@ -19,8 +19,8 @@
 use super::Fleet;
 use crate::{
     executor::Executor,
+    sorted_hash_map::SortedHashMap,
     spec::{Label, Resources, StepSpec},
-    table::Table,
 };
 
 /// An executor that hasn't answered for this long gets no new work. Covers one long poll and its
@@ -35,7 +35,7 @@
     /// Smallest needs that fitted no executor, with their required labels.
     unplaceable: Vec<(Option<Label>, Resources)>,
     /// Scarce labels of each executor that has any; see [`Fleet::scarce_labels`].
-    scarce_labels: Table<ExecutorId, Vec<Label>>,
+    scarce_labels: SortedHashMap<ExecutorId, Vec<Label>>,
     /// Room is held for a job already, see [`super::held_room`].
     pub(super) has_held: bool,
     /// Number of starved jobs that were tried and found no room.
@@ -48,7 +48,7 @@
     /// Whether a task of a step is known to fit no executor in this round, because one at most as
     /// large with the same or no required label didn't.
     pub(super) fn is_known_unplaceable(&self, step: &StepSpec) -> bool {
-        let need = step.booked();
+        let need = step.allocated();
         let covers = |label: &Option<Label>| label.is_none() || *label == step.required_label;
         self.unplaceable.iter().any(|(label, known)| covers(label) && known.fits(&need))
     }
@@ -63,7 +63,7 @@
 
     /// Records that a task of a step, constrained only by room and label, fitted no executor.
     pub(super) fn note_unplaceable(&mut self, step: &StepSpec) {
-        let need = step.booked();
+        let need = step.allocated();
         let label = &step.required_label;
         self.unplaceable.retain(|(known, larger)| known != label || !need.fits(larger));
         self.unplaceable.push((label.clone(), need));
@@ -72,12 +72,12 @@
 
 impl Fleet {
     pub(super) fn start_rounds(&self, now: Now) -> BTreeMap<ServiceName, PlacementRound> {
-        let vacating: BTreeSet<&ExecutorId> = self.machines.vacating().collect();
+        let vacating: BTreeSet<&ExecutorId> = self.machines.vacating_executors().collect();
         let accepts_work = |id: &&ExecutorId| {
             let executor = self.executors.get(*id);
             executor.is_some_and(|one| one.accepts_work(now)) && !vacating.contains(id)
         };
-        let avoids_scarce = self.settings.policy.spares_labels;
+        let avoids_scarce = self.settings.policy.avoids_scarce_labels;
         let scarce = if avoids_scarce { self.scarce_labels() } else { Vec::new() };
         self.by_service
             .iter()
@@ -97,7 +97,8 @@
 
     /// Returns the labels that jobs require and fewer than half of all executors have.
     pub(super) fn scarce_labels(&self) -> Vec<&Label> {
-        let infos = || self.executors.unordered().filter_map(|executor| executor.info.as_ref());
+        let infos =
+            || self.executors.unordered_values().filter_map(|executor| executor.info.as_ref());
         let is_scarce = |label: &&Label| {
             infos().filter(|info| info.labels.contains(label)).count() * 2 < infos().count()
         };
@@ -121,12 +122,12 @@
     /// Whether the current incarnation of the executor may accept work now or later.
     pub(super) fn is_usable(&self) -> bool {
         let is_active = self.info.as_ref().is_some_and(|info| !info.is_draining);
-        is_active && !self.is_over && !self.is_frozen
+        is_active && !self.has_ended && !self.is_frozen
     }
 
     /// Whether the executor has answered this owner, and recently.
     pub(super) fn is_responsive(&self, now: Now) -> bool {
         let is_recent = |at| now.saturating_sub(at) < RESPONSIVE_WITHIN;
-        self.is_synced && self.heard_at().is_some_and(is_recent)
+        self.is_synced && self.clock_read_at().is_some_and(is_recent)
     }
 }
--- a/crates/jackdawpier_fleet/src/fleet/pool_view.rs
+++ b/crates/jackdawpier_fleet/src/fleet/pool_view.rs
@@ -15,8 +15,8 @@
 use crate::{
     executor::{Executor, TaskRef},
     job::{Job, Phase, TaskIndex},
+    job_rank::rank,
     machines::{MachineId, MachineState, MachineWork},
-    order::rank,
     spec::{Label, Resources, StepSpec},
 };
 
@@ -139,8 +139,8 @@
         let scarce = self.scarce_labels();
         self.add_label_needs(&mut pools, &scarce);
         for info in self.machines.listed.values() {
-            let errand = self.machines.errands.get(&info.id);
-            if let Some(MachineWork::Move(to)) = errand.map(|errand| &errand.work) {
+            let operation = self.machines.operations.get(&info.id);
+            if let Some(MachineWork::Move(to)) = operation.map(|operation| &operation.work) {
                 if let Some(pool) = pools.get_mut(to) {
                     pool.add_arriving_machine(&info.labels);
                 }
@@ -152,16 +152,16 @@
                 continue;
             };
             let Some(known) = &executor.info else { continue };
-            pool.need_millicores += executor.booked.cpu_millicores;
+            pool.need_millicores += executor.allocated.cpu_millicores;
             // A frozen executor accepts no work in its current incarnation, so it isn't supply.
-            if known.is_draining || errand.is_some() || executor.is_frozen {
+            if known.is_draining || operation.is_some() || executor.is_frozen {
                 continue;
             }
             pool.up += 1;
             pool.add_machine_labels(&info.labels, &executor.free());
             let shared = info.labels.iter().filter(|label| scarce.contains(label));
             shared.for_each(|label| self.add_labelled_load(pool, label, executor));
-            let is_held = self.machines.is_held(now, &info.id);
+            let is_held = self.machines.is_locked(now, &info.id);
             if executor.tasks.is_empty() && executor.is_synced && !is_held {
                 pool.idle.push(info.id.clone());
             }
@@ -170,7 +170,8 @@
         self.add_stuck_jobs(now, &mut pools);
         for (name, pool) in &mut pools {
             let policy = self.settings.policy;
-            let arriving = self.arrivals.get_mut(name).map_or(0, |one| one.millicores(now, policy));
+            let arriving =
+                self.arrivals.get_mut(name).map_or(0, |one| one.demand_millicores(now, policy));
             pool.need_millicores = pool.need_millicores.max(arriving);
         }
         pools
@@ -180,7 +181,8 @@
     /// largest if it has none.
     fn set_machine_capacities(&self, pools: &mut BTreeMap<PoolName, PoolView>) {
         let mut largest = Resources { cpu_millicores: 1, ..Resources::default() };
-        for info in self.executors.unordered().filter_map(|executor| executor.info.as_ref()) {
+        for info in self.executors.unordered_values().filter_map(|executor| executor.info.as_ref())
+        {
             largest.raise_to(&info.capacity);
             if let Some(pool) = pools.get_mut(&info.service) {
                 pool.machine_capacity.raise_to(&info.capacity);
@@ -221,7 +223,7 @@
             let Some(job) = self.jobs.get(id) else { continue };
             let step = job.step(*index);
             if step.required_label.as_ref() == Some(label) {
-                need.need_millicores += step.booked().cpu_millicores;
+                need.need_millicores += step.allocated().cpu_millicores;
                 is_pinned |= step.is_long_running;
             }
         }
@@ -259,9 +261,9 @@
     /// machine of the pool could run it.
     fn stuck_since(&self, now: Now, job: &Job, pool: &PoolView) -> Option<Now> {
         let index = *job.startable.front()?;
-        let since = job.tasks[index].waits_since;
+        let since = job.tasks[index].waiting_since;
         let has_waited = now.saturating_sub(since) >= STUCK_CHECK_AFTER;
-        let can_ever_run = pool.machine_capacity.count(&job.step(index).booked()) > 0;
+        let can_ever_run = pool.machine_capacity.fit_count(&job.step(index).allocated()) > 0;
         (has_waited && can_ever_run && self.is_within_cap(job, index)).then_some(since)
     }
 
@@ -283,8 +285,8 @@
         let step = job.step(index);
         let lacking = start_group_size(step).saturating_sub(room.fold(0, usize::saturating_add));
         let per_machine = match step.max_per_executor {
-            0 => pool.machine_capacity.count(&step.booked()),
-            most => pool.machine_capacity.count(&step.booked()).min(most as usize),
+            0 => pool.machine_capacity.fit_count(&step.allocated()),
+            most => pool.machine_capacity.fit_count(&step.allocated()).min(most as usize),
         };
         if per_machine == 0 { 0 } else { lacking.div_ceil(per_machine) }
     }
@@ -297,7 +299,7 @@
             let step = self.jobs.get(id).map(|job| job.step(*index));
             step.filter(|step| step.is_long_running)
                 .iter()
-                .for_each(|step| booked.add(&step.booked()));
+                .for_each(|step| booked.add(&step.allocated()));
         }
         info.capacity.minus(&booked)
     }
@@ -311,13 +313,13 @@
             let Some(pool) = pools.get_mut(&queue.service) else { continue };
             let mut least_millicores = 0;
             for job in ids.iter().filter_map(|id| self.jobs.get(id)) {
-                if rank(now, job, queue, self.settings.policy).is_hopeless() {
+                if rank(now, job, queue, self.settings.policy).is_expired() {
                     least_millicores = least_millicores.max(min_start_millicores(job));
                     continue;
                 }
                 let spread = job.startable.iter().map(|&index| min_machines(job.step(index)));
                 pool.min_machines = pool.min_machines.max(spread.max().unwrap_or(0));
-                let waiting = job.startable.iter().map(|&index| job.step(index).booked());
+                let waiting = job.startable.iter().map(|&index| job.step(index).allocated());
                 let millicores = waiting.map(|need| need.cpu_millicores).sum::<u64>();
                 pool.need_millicores += headroom.take(job.account.as_ref(), millicores);
             }
@@ -343,6 +345,6 @@
 fn min_start_millicores(job: &Job) -> u64 {
     job.startable.front().map_or(0, |&index| {
         let step = job.step(index);
-        step.booked().cpu_millicores * start_group_size(step) as u64
+        step.allocated().cpu_millicores * start_group_size(step) as u64
     })
 }
--- a/crates/jackdawpier_fleet/src/fleet/pools.rs
+++ b/crates/jackdawpier_fleet/src/fleet/pools.rs
@@ -44,7 +44,7 @@
 
     /// Starts moves of machines to pools that are short of them, the greatest shortage first.
     pub(super) fn plan_pools(&mut self, now: Now) {
-        if now < self.machines.orders_from {
+        if now < self.machines.orders_allowed_from {
             return;
         }
         let mut pools = self.pool_views(now);
@@ -67,7 +67,8 @@
     /// Returns how many machines each pool keeps even if it needs fewer now.
     fn kept_machines(&self, pools: &BTreeMap<PoolName, PoolView>) -> usize {
         let total: usize = pools.values().map(PoolView::holds).sum();
-        let keep_percent = if self.settings.policy.keeps_share { KEPT_SHARE_PERCENT } else { 0 };
+        let keep_percent =
+            if self.settings.policy.keeps_minimum_share { KEPT_SHARE_PERCENT } else { 0 };
         (total * keep_percent / 100).div_ceil(pools.len().max(1))
     }
 
@@ -154,8 +155,8 @@
         let listed = self.machines.listed.values();
         listed
             .filter(|info| info.state == MachineState::Up && self.is_standby(&info.pool))
-            .filter(|info| !self.machines.errands.contains_key(&info.id))
-            .filter(|info| !self.machines.is_held(now, &info.id))
+            .filter(|info| !self.machines.operations.contains_key(&info.id))
+            .filter(|info| !self.machines.is_locked(now, &info.id))
             .map(|info| info.id.clone())
             .collect()
     }
--- a/crates/jackdawpier_fleet/src/fleet/probation.rs
+++ b/crates/jackdawpier_fleet/src/fleet/probation.rs
@@ -10,7 +10,7 @@
 
 use super::{Fleet, recent_crashes::ExecutorCrash};
 use crate::{
-    crash::has_failed_trial,
+    crash::has_crashed_on_probation,
     executor::{Executor, TaskRef},
     job::{Job, TaskIndex},
 };
@@ -31,25 +31,25 @@
         let last = not_isolated.find(|crash| crash.service.as_ref() == service);
         let since = last.map_or(self.started_at, |crash| crash.at);
         now >= since + REQUIRED_CRASH_FREE_TIME
-            || now >= job.tasks[index].waits_since + MAX_CRASH_FREE_WAIT
+            || now >= job.tasks[index].waiting_since + MAX_CRASH_FREE_WAIT
     }
 
     /// Whether executors have recently crashed without the task as well, so that its own crashes
     /// may be unrelated to it. After a crash on probation only spontaneous crashes count.
     pub(super) fn has_unattributed_crashes_without(&self, now: Now, task_ref: &TaskRef) -> bool {
         let Some(task) = self.task(task_ref) else { return false };
-        let has_failed_trial = has_failed_trial(task.crashes());
+        let has_crashed_on_probation = has_crashed_on_probation(task.crashes());
         let is_recent = |crash: &&ExecutorCrash| now.saturating_sub(crash.at) < RECENT_CRASH_WINDOW;
-        let counts = |crash: &ExecutorCrash| crash.is_spontaneous || !has_failed_trial;
+        let counts = |crash: &ExecutorCrash| crash.is_spontaneous || !has_crashed_on_probation;
         let mut recent = self.recent_crashes.not_isolated().take_while(is_recent);
         recent.any(|crash| counts(crash) && !crash.involves(task_ref))
     }
 
     /// Whether the isolated task on an executor is on probation.
     pub(super) fn is_isolating_probation(&self, executor: &Executor) -> bool {
-        executor.watch.as_ref().is_some_and(|watch| {
+        executor.isolated_start.as_ref().is_some_and(|watch| {
             let job = self.jobs.get(&watch.task.0);
-            job.is_some_and(|job| job.is_on_trial(watch.task.1))
+            job.is_some_and(|job| job.is_on_probation(watch.task.1))
         })
     }
 }
--- a/crates/jackdawpier_fleet/src/fleet/recent_crashes.rs
+++ b/crates/jackdawpier_fleet/src/fleet/recent_crashes.rs
@@ -22,7 +22,7 @@
     pub(super) at: Now,
     pub(super) service: Option<ServiceName>,
     /// A task ran in isolation there, which is the likely cause.
-    pub(super) is_watched: bool,
+    pub(super) is_isolated: bool,
     /// No task had started there recently, so a task is an unlikely cause.
     pub(super) is_spontaneous: bool,
     /// The runs on the executor.
@@ -60,19 +60,19 @@
 
     /// Returns the crashes with no isolated task, newest first. They may have had no task as their cause.
     pub(super) fn not_isolated(&self) -> impl Iterator<Item = &ExecutorCrash> {
-        self.0.iter().rev().filter(|crash| !crash.is_watched)
+        self.0.iter().rev().filter(|crash| !crash.is_isolated)
     }
 }
 
 impl Fleet {
     /// Clears all other tasks of the crashes that a task has caused.
     pub(super) fn clear_co_located_crashes(&mut self, cause: &TaskRef) {
-        if !self.settings.policy.explains_crashes {
+        if !self.settings.policy.attributes_crashes {
             return;
         }
         for (task, run) in self.recent_crashes.take_co_located_runs(cause) {
             let job = self.jobs.get_mut(&task.0).filter(|job| !job.is_over());
-            if job.is_some_and(|job| job.tasks[task.1].explain_crash(run)) {
+            if job.is_some_and(|job| job.tasks[task.1].attribute_crash_elsewhere(run)) {
                 self.mark_changed(&task.0);
             }
         }
--- a/crates/jackdawpier_fleet/src/fleet/reports.rs
+++ b/crates/jackdawpier_fleet/src/fleet/reports.rs
@@ -10,7 +10,7 @@
     stops::MAX_STOP_DELAY,
 };
 use crate::{
-    executor::{EndKind, EndedTask, HoldReport, LastSigns, MAX_ENDS_PER_REPORT, TaskRef},
+    executor::{EndKind, EndedTask, HoldReport, LastContact, MAX_ENDS_PER_REPORT, TaskRef},
     job::{Phase, StopOrder},
     record::JobOutcome,
     spec::RunNumber,
@@ -49,7 +49,7 @@
     pub fn hold_directive(&mut self, now: Now, id: &str) -> Option<HoldDirective> {
         let lease = self.settings.lease;
         let jobs = &self.jobs;
-        let executor = self.executors.get_mut(id).filter(|executor| !executor.is_over)?;
+        let executor = self.executors.get_mut(id).filter(|executor| !executor.has_ended)?;
         let ends = |(id, index): &TaskRef| {
             jobs.get(id).is_some_and(|job| !job.step(*index).is_long_running)
         };
@@ -57,9 +57,9 @@
         // The changes of a removed job became durable long before.
         let acknowledged =
             executor.acknowledge(|job| jobs.get(job).map_or(u64::MAX, |job| job.durable_changes));
-        let is_heard = executor.heard_at().is_some();
+        let is_heard = executor.clock_read_at().is_some();
         // An executor that doesn't report incarnations has another id in each.
-        let is_same_incarnation = executor.failed_at.is_none() || executor.life.is_none();
+        let is_same_incarnation = executor.failed_at.is_none() || executor.incarnation.is_none();
         let may_wait =
             executor.is_synced && is_heard && !executor.has_unacknowledged() && is_same_incarnation;
         let acknowledged = if is_same_incarnation { acknowledged } else { 0 };
@@ -87,11 +87,11 @@
         match life {
             ReportOrigin::Current => {}
             ReportOrigin::Previous => return,
-            ReportOrigin::New(life) => executor.begin_life(now, life),
+            ReportOrigin::New(life) => executor.begin_incarnation(now, life),
         }
         let FleetSettings { lease, longest_lease, .. } = self.settings;
-        executor.heard(now, report.clock, lease, longest_lease);
-        let seen = executor.seen;
+        executor.note_answer(now, report.clock, lease, longest_lease);
+        let seen = executor.last_processed_end;
         let is_complete = report.ended.len() < MAX_ENDS_PER_REPORT;
         for end in report.ended.iter().filter(|end| end.sequence > seen) {
             self.record_end(now, id, end);
@@ -108,12 +108,12 @@
 
     fn record_end(&mut self, now: Now, id: &ExecutorId, end: &EndedTask) {
         if let Some(executor) = self.executors.get_mut(id) {
-            executor.seen = end.sequence;
+            executor.last_processed_end = end.sequence;
         }
         let job_id = end.task.job.clone();
         self.apply_end(now, id, end);
         let needed = self.jobs.get_mut(&job_id).map_or(0, |job| {
-            job.unsettled.push((job.changes, id.clone()));
+            job.unacknowledged_ends.push((job.changes, id.clone()));
             job.changes
         });
         if let Some(executor) = self.executors.get_mut(id) {
@@ -125,7 +125,7 @@
         let Some(job) = self.jobs.get_mut(&end.task.job) else {
             // It is no longer known which of its runs counted.
             let ended = self.inherited_ended_jobs.get(&end.task.job);
-            if end.how == EndKind::Done && ended.is_some_and(|one| one.has_rerun) {
+            if end.kind == EndKind::Done && ended.is_some_and(|one| one.has_rerun) {
                 self.freeze(id);
             }
             return;
@@ -135,9 +135,9 @@
         let is_here = task.phase.executor() == Some(id) && task.run == end.run;
         // The run was taken for lapsed but succeeded. No other run was started, so it counts.
         let is_late_success =
-            end.how == EndKind::Done && task.phase == Phase::Waiting && task.run == end.run;
+            end.kind == EndKind::Done && task.phase == Phase::Waiting && task.run == end.run;
         // Another run is planned, but its order hasn't been sent.
-        let is_before_next_start = end.how == EndKind::Done
+        let is_before_next_start = end.kind == EndKind::Done
             && matches!(task.phase, Phase::Planned { .. })
             && task.run == end.run + 1;
         if !is_here && !is_late_success && !is_before_next_start {
@@ -154,8 +154,8 @@
         let (is_gang, is_long_running) = (step.is_gang, step.is_long_running);
         let slot = job.slot(index);
         let task_ref: TaskRef = (end.task.job.clone(), index);
-        self.track_failures(now, id, end.how);
-        let outcome = match end.how {
+        self.track_failures(now, id, end.kind);
+        let outcome = match end.kind {
             // A long-running task is restarted however it ends.
             EndKind::Done | EndKind::Failed if is_long_running => None,
             EndKind::Done => Some(TaskOutcome::Done),
@@ -176,7 +176,7 @@
         if !job.may_be_superseded(index, end.run) || job.step(index).is_speculative {
             return;
         }
-        match end.how {
+        match end.kind {
             EndKind::Done => self.freeze(id),
             EndKind::Failed => {
                 job.tasks[index].note_failure(end.run);
@@ -196,12 +196,12 @@
     fn track_failures(&mut self, now: Now, id: &ExecutorId, how: EndKind) {
         let Some(executor) = self.executors.get_mut(id) else { return };
         match how {
-            EndKind::Done => executor.failures_in_row = 0,
+            EndKind::Done => executor.consecutive_failures = 0,
             EndKind::Failed => {
-                executor.failures_in_row += 1;
-                let leaves_out = self.settings.policy.leaves_out_suspects;
-                if leaves_out && executor.failures_in_row >= EXCLUSION_FAILURES {
-                    let doublings = (executor.failures_in_row - EXCLUSION_FAILURES).min(2);
+                executor.consecutive_failures += 1;
+                let leaves_out = self.settings.policy.excludes_failing_executors;
+                if leaves_out && executor.consecutive_failures >= EXCLUSION_FAILURES {
+                    let doublings = (executor.consecutive_failures - EXCLUSION_FAILURES).min(2);
                     let exclusion = (FIRST_EXCLUSION * (1 << doublings)).min(MAX_EXCLUSION);
                     executor.avoid_until = executor.avoid_until.max(now + exclusion);
                 }
@@ -243,32 +243,32 @@
                 continue;
             };
             let is_long_running = job.step(index).is_long_running;
-            let may_go_on = job.may_go_on(index);
+            let may_continue = job.may_continue(index);
             let task = &mut job.tasks[index];
             present.insert((job.id.clone(), index), running.run);
             if !running.checkpoint.is_empty() {
                 task.checkpoint.clone_from(&running.checkpoint);
             }
-            task.listed_at = Some(now);
-            task.percent = running.percent;
-            if may_go_on {
-                task.take_stop_back(now, MAX_STOP_DELAY);
+            task.last_reported_at = Some(now);
+            task.speed_percent = running.speed_percent;
+            if may_continue {
+                task.revert_stop(now, MAX_STOP_DELAY);
             }
             let is_kept = !matches!(task.phase, Phase::Stopping { .. });
-            let is_at_work = running.percent >= 100 && is_kept;
+            let is_at_work = running.speed_percent >= 100 && is_kept;
             task.at_work_since = if is_at_work { task.at_work_since.or(Some(now)) } else { None };
             if task.confirmed_at.is_none() {
-                let is_inherited = matches!(task.phase, Phase::Doubt { .. });
+                let is_inherited = matches!(task.phase, Phase::Inherited { .. });
                 task.confirmed_at = Some(if is_inherited { Now::ZERO } else { now });
                 if let Some(executor) = self.executors.get_mut(id) {
-                    executor.has_begun(
+                    executor.note_confirmed_start(
                         now,
                         &(job.id.clone(), index),
-                        task.watched_for(is_long_running),
+                        task.isolation_time(is_long_running),
                     );
                 }
             }
-            if matches!(task.phase, Phase::Doubt { .. } | Phase::Starting { .. }) {
+            if matches!(task.phase, Phase::Inherited { .. } | Phase::Starting { .. }) {
                 task.phase = Phase::Running { executor: id.clone(), since: now };
                 if !job.has_begun {
                     job.has_begun = true;
@@ -301,7 +301,7 @@
         present: &BTreeMap<TaskRef, RunNumber>,
     ) {
         let Some(executor) = self.executors.get(id) else { return };
-        let life = executor.life;
+        let life = executor.incarnation;
         let unlisted: Vec<TaskRef> =
             executor.tasks.iter().filter(|task| !present.contains_key(*task)).cloned().collect();
         let stop_bound = self.settings.stop_timeout + STOP_MARGIN;
@@ -310,10 +310,10 @@
             let task = &mut job.tasks[task_ref.1];
             match &task.phase {
                 // The fence prevents a late order of a previous owner from starting the task now.
-                Phase::Doubt { .. } => {
-                    match (task.placed_in, life) {
+                Phase::Inherited { .. } => {
+                    match (task.placed_incarnation, life) {
                         (Some(placed), Some(life)) if placed != life => {
-                            let signs = LastSigns::default();
+                            let signs = LastContact::default();
                             let tasks = std::slice::from_ref(&task_ref);
                             self.note_crash(now, id, true, signs, tasks);
                         }
--- a/crates/jackdawpier_fleet/src/fleet/reservations.rs
+++ b/crates/jackdawpier_fleet/src/fleet/reservations.rs
@@ -20,7 +20,7 @@
 use crate::{
     executor::Executor,
     job::{Job, Phase, TaskIndex},
-    order::Rank,
+    job_rank::Rank,
     spec::Resources,
 };
 
@@ -56,8 +56,9 @@
             .filter_map(|(_, id)| {
                 let job = &self.jobs[id];
                 let index = starved_task(now, job, STARVED_AFTER)?;
-                let waits_since = job.tasks[index].waits_since;
-                let unserved_since = job.served_at.map_or(waits_since, |at| at.max(waits_since));
+                let waiting_since = job.tasks[index].waiting_since;
+                let unserved_since =
+                    job.last_placed_at.map_or(waiting_since, |at| at.max(waiting_since));
                 Some((unserved_since, id.clone()))
             })
             .collect();
@@ -79,12 +80,12 @@
 
     /// Reserves executors for a job that found no room; at most one job per service.
     pub(super) fn reserve_executors(&mut self, now: Now, id: &JobId, round: &mut PlacementRound) {
-        if round.has_held || !self.settings.policy.holds_room {
+        if round.has_held || !self.settings.policy.reserves_room {
             return;
         }
         let Some(job) = self.jobs.get(id) else { return };
         let Some(index) = starved_task(now, job, RESERVE_AFTER) else { return };
-        let waited = now.saturating_sub(job.tasks[index].waits_since + RESERVE_AFTER);
+        let waited = now.saturating_sub(job.tasks[index].waiting_since + RESERVE_AFTER);
         if waited.as_millis() % RESERVATION_PERIOD.as_millis() >= RESERVATION_DURATION.as_millis() {
             return;
         }
@@ -103,7 +104,7 @@
             let job = self.jobs.get(id)?;
             Some(job.step(*index))
         });
-        steps.filter(|step| step.is_long_running).for_each(|step| room.subtract(&step.booked()));
+        steps.filter(|step| step.is_long_running).for_each(|step| room.subtract(&step.allocated()));
         Some(room)
     }
 
@@ -116,7 +117,7 @@
         round: &PlacementRound,
     ) -> Vec<ExecutorId> {
         let step = job.step(index);
-        let need = step.booked();
+        let need = step.allocated();
         let mut missing = if step.is_gang { step.count as usize } else { 1 };
         let mut candidates: Vec<(Reverse<u64>, &ExecutorId, usize)> = round
             .executors
@@ -125,8 +126,8 @@
                 let executor = self.executors.get(id)?;
                 let room = self.room_after_short_tasks(executor)?;
                 let max_tasks = match step.max_per_executor {
-                    0 => room.count(&need),
-                    most => room.count(&need).min(most as usize),
+                    0 => room.fit_count(&need),
+                    most => room.fit_count(&need).min(most as usize),
                 };
                 let is_candidate = max_tasks > 0 && is_eligible(executor, job, index);
                 is_candidate.then_some((Reverse(executor.free().cpu_millicores), id, max_tasks))
@@ -148,7 +149,7 @@
 /// Returns the first waiting task of a job that has nothing running, if it has waited for at least `min_wait`.
 fn starved_task(now: Now, job: &Job, min_wait: Duration) -> Option<TaskIndex> {
     let index = *job.startable.front()?;
-    let has_waited = now.saturating_sub(job.tasks[index].waits_since) >= min_wait;
+    let has_waited = now.saturating_sub(job.tasks[index].waiting_since) >= min_wait;
     let is_waiting = job.tasks[index].phase == Phase::Waiting;
     let has_running = job.tasks.iter().any(|task| task.phase.executor().is_some());
     (has_waited && is_waiting && !has_running).then_some(index)
--- a/crates/jackdawpier_fleet/src/fleet/runs.rs
+++ b/crates/jackdawpier_fleet/src/fleet/runs.rs
@@ -7,7 +7,7 @@
 use crate::{
     account::Accounts,
     crash::Retry,
-    executor::{Executor, TaskRef, Watch},
+    executor::{Executor, IsolatedStart, TaskRef},
     job::{Job, Phase, StopOrder, TaskIndex},
     record::JobOutcome,
 };
@@ -47,7 +47,7 @@
             Phase::Planned { .. } => self.end_run(now, task_ref, None),
             Phase::Starting { executor }
             | Phase::Running { executor, .. }
-            | Phase::Doubt { executor } => {
+            | Phase::Inherited { executor } => {
                 let executor = executor.clone();
                 let order = StopOrder::UnderWay;
                 task.phase = Phase::Stopping { executor: executor.clone(), order };
@@ -106,7 +106,7 @@
         let slot = job.slot(task_ref.1);
         let is_open = job.progress[slot].is_open;
         match job.retry(task_ref.1) {
-            Retry::AtOnce if is_open => job.wait(now, task_ref.1),
+            Retry::AtOnce if is_open => job.enqueue(now, task_ref.1),
             Retry::AtOnce => {}
             Retry::After(pause) => self.back_off(now, task_ref, Some(pause)),
             Retry::Never => self.back_off(now, task_ref, None),
@@ -125,11 +125,11 @@
     if !executor.tasks.insert((job.id.clone(), index)) {
         return;
     }
-    accounts.book(job.account.as_ref(), &step.need);
-    executor.booked.add(&step.booked());
-    *executor.per_slot.entry((job.id.clone(), job.slot(index))).or_default() += 1;
-    executor.serving += u32::from(step.tail_target.is_some());
-    executor.fillers += u32::from(step.is_filler);
+    accounts.add_usage(job.account.as_ref(), &step.need);
+    executor.allocated.add(&step.allocated());
+    *executor.tasks_per_slot.entry((job.id.clone(), job.slot(index))).or_default() += 1;
+    executor.serving_tasks += u32::from(step.tail_target.is_some());
+    executor.filler_tasks += u32::from(step.is_filler);
 }
 
 pub(super) fn release(
@@ -142,19 +142,19 @@
     if !executor.tasks.remove(&(job.id.clone(), index)) {
         return;
     }
-    accounts.unbook(job.account.as_ref(), &step.need);
-    executor.booked.subtract(&step.booked());
-    let is_watched = |watch: &Watch| watch.task.0 == job.id && watch.task.1 == index;
-    if executor.watch.as_ref().is_some_and(is_watched) {
-        executor.watch = None;
+    accounts.subtract_usage(job.account.as_ref(), &step.need);
+    executor.allocated.subtract(&step.allocated());
+    let is_isolated = |watch: &IsolatedStart| watch.task.0 == job.id && watch.task.1 == index;
+    if executor.isolated_start.as_ref().is_some_and(is_isolated) {
+        executor.isolated_start = None;
     }
     let slot = (job.id.clone(), job.slot(index));
-    if let Some(count) = executor.per_slot.get_mut(&slot) {
+    if let Some(count) = executor.tasks_per_slot.get_mut(&slot) {
         *count -= 1;
         if *count == 0 {
-            executor.per_slot.remove(&slot);
+            executor.tasks_per_slot.remove(&slot);
         }
     }
-    executor.serving -= u32::from(step.tail_target.is_some());
-    executor.fillers -= u32::from(step.is_filler);
+    executor.serving_tasks -= u32::from(step.tail_target.is_some());
+    executor.filler_tasks -= u32::from(step.is_filler);
 }
--- a/crates/jackdawpier_fleet/src/fleet/starts.rs
+++ b/crates/jackdawpier_fleet/src/fleet/starts.rs
@@ -70,7 +70,7 @@
     ) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let Some(index) = job.index(key) else { return };
-        let watched_for = job.tasks[index].watched_for(job.step(index).is_long_running);
+        let isolation_time = job.tasks[index].isolation_time(job.step(index).is_long_running);
         let task = &mut job.tasks[index];
         let is_current = task.run == run
             && matches!(&task.phase, Phase::Starting { executor } if &**executor == executor_id);
@@ -88,9 +88,9 @@
                 task.phase = Phase::Running { executor: at, since: now };
                 task.confirmed_at = Some(now);
                 if let Some(executor) = executor {
-                    executor.has_begun(now, &task_ref, watched_for);
+                    executor.note_confirmed_start(now, &task_ref, isolation_time);
                 }
-                task.percent = 0;
+                task.speed_percent = 0;
                 task.pace_percent = 100;
                 if !job.has_begun {
                     job.has_begun = true;
@@ -118,7 +118,7 @@
         let gang = job.step(index).is_gang.then(|| job.slot(index));
         let is_single_long_running = job.step(index).is_long_running && gang.is_none();
         let task = &mut job.tasks[index];
-        if end == StartOutcome::Unanswered && (watched_for.is_some() || is_single_long_running) {
+        if end == StartOutcome::Unanswered && (isolation_time.is_some() || is_single_long_running) {
             // The next report shows whether the task started. A stop would waste one of the few
             // starts of a suspect, and could reach a task that has been at work for long.
             task.unanswered_at = Some(now);
--- a/crates/jackdawpier_fleet/src/fleet/stops.rs
+++ b/crates/jackdawpier_fleet/src/fleet/stops.rs
@@ -62,7 +62,7 @@
     /// Whether a task may end now without its step missing more tasks than it may.
     fn may_end_now(&self, now: Now, job: &Job, index: TaskIndex) -> bool {
         let step = job.step(index);
-        let is_bounded = job.may_go_on(index) && step.may_miss > 0;
+        let is_bounded = job.may_continue(index) && step.may_miss > 0;
         !is_bounded
             || self.other_tasks_away(now, job, index) < step.may_miss
             || self.is_missing_in_recent_report(now, job, index)
@@ -72,10 +72,10 @@
     fn is_missing_in_recent_report(&self, now: Now, job: &Job, index: TaskIndex) -> bool {
         let task = &job.tasks[index];
         let executor = task.phase.executor().and_then(|id| self.executors.get(id));
-        let reported_at = executor.and_then(Executor::heard_at);
+        let reported_at = executor.and_then(Executor::clock_read_at);
         reported_at.is_some_and(|at| {
             now.saturating_sub(at) < RECENT_REPORT_AGE
-                && task.listed_at.is_none_or(|last| last < at)
+                && task.last_reported_at.is_none_or(|last| last < at)
         })
     }
 
@@ -127,8 +127,8 @@
         let index = job.index(key).filter(|index| job.tasks[*index].run == run)?;
         let (task, step) = (&job.tasks[index], job.step(index));
         step.is_long_running.then(|| StopEvidence {
-            listed_ago: task.listed_at.map(|at| now.saturating_sub(at)),
-            percent: task.listed_at.map_or(0, |_| task.percent),
+            listed_ago: task.last_reported_at.map(|at| now.saturating_sub(at)),
+            percent: task.last_reported_at.map_or(0, |_| task.speed_percent),
             others_away: self.other_tasks_away(now, job, index),
             may_miss: step.may_miss,
         })
--- a/crates/jackdawpier_fleet/src/fleet/vacating.rs
+++ b/crates/jackdawpier_fleet/src/fleet/vacating.rs
@@ -16,7 +16,9 @@
 use crate::{
     executor::{Executor, TaskRef},
     job::{Job, Phase, Task, TaskIndex},
-    machines::{Errand, MachineId, MachineOrder, MachineWork, Stage, WaveNumber},
+    machines::{
+        MachineId, MachineOperation, MachineOrder, MachineWork, OperationStage, WaveNumber,
+    },
     spec::StepSpec,
 };
 
@@ -39,20 +41,20 @@
 impl Fleet {
     pub(super) fn begin_operation(&mut self, now: Now, machine: MachineId, work: MachineWork) {
         let executor = self.machines.listed.get(&machine).and_then(|info| info.executor.clone());
-        let stage = Stage::Vacating { since: now };
-        let not_before = self.machines.free_from(&machine);
+        let stage = OperationStage::Vacating { since: now };
+        let not_before = self.machines.orderable_from(&machine);
         let (long_running, others) = self.task_counts_on(&machine);
         let tasks = long_running + others;
-        let errand = Errand {
+        let operation = MachineOperation {
             work,
             stage,
             executor,
             not_before,
-            unsure_until: Now::ZERO,
+            may_execute_until: Now::ZERO,
             tasks,
-            progress_at: now,
+            last_progress_at: now,
         };
-        self.machines.errands.insert(machine, errand);
+        self.machines.operations.insert(machine, operation);
     }
 
     /// Returns the numbers of long-running and of other tasks on a machine.
@@ -86,15 +88,15 @@
     fn is_running_executor(&self, now: Now, id: &ExecutorId) -> bool {
         self.executors
             .get(id)
-            .is_some_and(|executor| !executor.is_over && executor.is_responsive(now))
+            .is_some_and(|executor| !executor.has_ended && executor.is_responsive(now))
     }
 
     fn can_lose_executor(&self, now: Now, id: &ExecutorId) -> bool {
         let Some(executor) = self.executors.get(id) else { return true };
-        if executor.is_watching(now) && self.is_isolating_probation(executor) {
+        if executor.is_isolating(now) && self.is_isolating_probation(executor) {
             return false;
         }
-        executor.per_slot.iter().all(|((job_id, slot), &here)| {
+        executor.tasks_per_slot.iter().all(|((job_id, slot), &here)| {
             let Some(job) = self.jobs.get(job_id) else { return true };
             let first = job.tasks_of(*slot).start;
             let step = job.step(first);
@@ -125,46 +127,47 @@
     /// Whether a task has been at work for long enough on an executor that still answers.
     fn is_at_work(&self, now: Now, task: &Task) -> bool {
         let Some(id) = task.phase.executor() else { return false };
-        let heard_at = self.executors.get(id).and_then(Executor::heard_at);
-        let is_responsive = heard_at.is_some_and(|at| now.saturating_sub(at) < UNRESPONSIVE_AFTER);
+        let clock_read_at = self.executors.get(id).and_then(Executor::clock_read_at);
+        let is_responsive =
+            clock_read_at.is_some_and(|at| now.saturating_sub(at) < UNRESPONSIVE_AFTER);
         let since = task.at_work_since;
         is_responsive
-            && now >= task.may_stop_until
+            && now >= task.late_stop_until
             && !self.machines.is_leaving(id)
-            && !self.machines.holds_executor(now, id)
+            && !self.machines.is_executor_locked(now, id)
             && since.is_some_and(|since| now.saturating_sub(since) >= STABLE_AFTER)
     }
 
     pub(super) fn order_vacated_machines(&mut self, now: Now) {
         self.cancel_stalled_operations(now);
-        let machines: Vec<MachineId> = self.machines.errands.keys().cloned().collect();
+        let machines: Vec<MachineId> = self.machines.operations.keys().cloned().collect();
         if machines.is_empty() {
             return;
         }
         let rounds = self.start_rounds(now);
         let mut slots = self.wave_slots(now);
         for machine in machines {
-            let errand = &self.machines.errands[&machine];
-            if now < errand.not_before {
+            let operation = &self.machines.operations[&machine];
+            if now < operation.not_before {
                 continue;
             }
-            let is_due = match errand.stage {
-                Stage::Vacating { since } => self.is_vacated(now, &machine, since),
-                Stage::Ordered { at, is_under_way } => {
-                    !is_under_way
+            let is_due = match operation.stage {
+                OperationStage::Vacating { since } => self.is_vacated(now, &machine, since),
+                OperationStage::Ordered { at, is_in_flight } => {
+                    !is_in_flight
                         && now >= at + ORDER_RETRY_INTERVAL
                         && self.can_lose_machine(now, &machine)
                 }
-                Stage::Away { .. } => false,
+                OperationStage::Away { .. } => false,
             };
-            if !is_due || !take_slot(&mut slots, &self.machines.errands[&machine]) {
+            if !is_due || !take_slot(&mut slots, &self.machines.operations[&machine]) {
                 self.evict_one_task(now, &machine, &rounds);
                 continue;
             }
             self.mark_long_running_away(&machine);
-            let errand = self.machines.errands.get_mut(&machine).expect("it was read above");
-            errand.stage = Stage::Ordered { at: now, is_under_way: true };
-            let work = errand.work.clone();
+            let operation = self.machines.operations.get_mut(&machine).expect("it was read above");
+            operation.stage = OperationStage::Ordered { at: now, is_in_flight: true };
+            let work = operation.work.clone();
             self.commands.push(Command::Machine(MachineOrder { machine, work }));
         }
     }
@@ -172,10 +175,11 @@
     /// Whether an order about a machine may be sent now. Called right before it is sent, since it
     /// may have been delayed after the decision.
     pub fn may_send_machine_order(&self, now: Now, order: &MachineOrder) -> bool {
-        let errand = self.machines.errands.get(&order.machine);
-        let is_wanted = errand.is_some_and(|errand| {
-            let is_under_way = matches!(errand.stage, Stage::Ordered { is_under_way: true, .. });
-            errand.work == order.work && is_under_way
+        let operation = self.machines.operations.get(&order.machine);
+        let is_wanted = operation.is_some_and(|operation| {
+            let is_under_way =
+                matches!(operation.stage, OperationStage::Ordered { is_in_flight: true, .. });
+            operation.work == order.work && is_under_way
         });
         is_wanted && self.can_lose_machine(now, &order.machine)
     }
@@ -191,8 +195,9 @@
         machine: &MachineId,
         rounds: &BTreeMap<ServiceName, PlacementRound>,
     ) {
-        let is_vacating = matches!(self.machines.errands[machine].stage, Stage::Vacating { .. });
-        if !is_vacating || !self.settings.policy.gives_away {
+        let is_vacating =
+            matches!(self.machines.operations[machine].stage, OperationStage::Vacating { .. });
+        if !is_vacating || !self.settings.policy.migrates_long_running {
             return;
         }
         let (_, others) = self.task_counts_on(machine);
@@ -253,10 +258,10 @@
     ) -> Option<TaskRef> {
         let id = self.machines.listed.get(machine)?.executor.as_ref()?;
         let executor = self.executors.get(id)?;
-        if executor.is_watching(now) && self.is_isolating_probation(executor) {
+        if executor.is_isolating(now) && self.is_isolating_probation(executor) {
             return None;
         }
-        executor.per_slot.iter().find_map(|((job_id, slot), &here)| {
+        executor.tasks_per_slot.iter().find_map(|((job_id, slot), &here)| {
             let job = self.jobs.get(job_id)?;
             let indices = job.tasks_of(*slot);
             let step = job.step(indices.start);
@@ -279,17 +284,17 @@
     /// Cancels the operations of vacating machines that no task leaves any more, so that they
     /// accept work again.
     fn cancel_stalled_operations(&mut self, now: Now) {
-        let machines: Vec<MachineId> = self.machines.errands.keys().cloned().collect();
+        let machines: Vec<MachineId> = self.machines.operations.keys().cloned().collect();
         for machine in machines {
             let (long_running, others) = self.task_counts_on(&machine);
-            let errand = self.machines.errands.get_mut(&machine).expect("just listed");
-            if long_running + others < errand.tasks {
-                errand.progress_at = now;
+            let operation = self.machines.operations.get_mut(&machine).expect("just listed");
+            if long_running + others < operation.tasks {
+                operation.last_progress_at = now;
             }
-            errand.tasks = long_running + others;
-            let is_stuck = now.saturating_sub(errand.progress_at) >= STALLED_AFTER;
-            if is_stuck && matches!(errand.stage, Stage::Vacating { .. }) {
-                self.machines.errands.remove(&machine);
+            operation.tasks = long_running + others;
+            let is_stuck = now.saturating_sub(operation.last_progress_at) >= STALLED_AFTER;
+            if is_stuck && matches!(operation.stage, OperationStage::Vacating { .. }) {
+                self.machines.operations.remove(&machine);
             }
         }
     }
@@ -301,7 +306,7 @@
             let is_long = |index: &&TaskIndex| {
                 job.step(**index).is_long_running
                     && job.tasks[**index].phase == Phase::Waiting
-                    && now.saturating_sub(job.tasks[**index].waits_since) >= REOPEN_FOR_WAIT
+                    && now.saturating_sub(job.tasks[**index].waiting_since) >= REOPEN_FOR_WAIT
             };
             job.startable.iter().find(is_long).copied()
         };
@@ -309,20 +314,20 @@
         let mut waiting = open.filter_map(|job| Some((job, waits(job)?)));
         let machine = waiting.find_map(|(job, index)| self.reopenable_machine(job, index));
         if let Some(machine) = machine {
-            self.machines.errands.remove(&machine);
+            self.machines.operations.remove(&machine);
         }
     }
 
     /// Returns a vacating machine whose executor has room for a task.
     fn reopenable_machine(&self, job: &Job, index: TaskIndex) -> Option<MachineId> {
         let service = &self.queues.get(&job.queue)?.service;
-        let could_run = |(machine, errand): &(&MachineId, &Errand)| {
-            let executor = errand.executor.as_ref().and_then(|id| self.executors.get(id));
-            matches!(errand.stage, Stage::Vacating { .. })
+        let could_run = |(machine, operation): &(&MachineId, &MachineOperation)| {
+            let executor = operation.executor.as_ref().and_then(|id| self.executors.get(id));
+            matches!(operation.stage, OperationStage::Vacating { .. })
                 && self.machines.listed.get(*machine).is_some_and(|info| info.pool == *service)
                 && executor.is_some_and(|executor| has_room_for(executor, job, index, None))
         };
-        self.machines.errands.iter().find(could_run).map(|(machine, _)| machine.clone())
+        self.machines.operations.iter().find(could_run).map(|(machine, _)| machine.clone())
     }
 
     fn is_vacated(&self, now: Now, machine: &MachineId, since: Now) -> bool {
@@ -348,9 +353,9 @@
 
 /// Takes a slot of the wave's bound on machines away and returns whether there was one. An
 /// operation whose order was already sent needs no further slot.
-fn take_slot(slots: &mut BTreeMap<WaveNumber, usize>, errand: &Errand) -> bool {
-    let MachineWork::Maintain(number) = errand.work else { return true };
-    if errand.is_away() {
+fn take_slot(slots: &mut BTreeMap<WaveNumber, usize>, operation: &MachineOperation) -> bool {
+    let MachineWork::Maintain(number) = operation.work else { return true };
+    if operation.is_away() {
         return true;
     }
     let Some(left) = slots.get_mut(&number).filter(|left| **left > 0) else { return false };
--- a/crates/jackdawpier_fleet/src/fleet/waits.rs
+++ b/crates/jackdawpier_fleet/src/fleet/waits.rs
@@ -67,7 +67,7 @@
             .filter(|(since, ..)| now.saturating_sub(*since) >= longer_than)
             .collect();
         waiting.sort_unstable_by_key(|(since, job, _)| (*since, job.id.clone()));
-        let vacating: BTreeSet<&ExecutorId> = self.machines.vacating().collect();
+        let vacating: BTreeSet<&ExecutorId> = self.machines.vacating_executors().collect();
         let shown = waiting.into_iter().take(limit);
         shown
             .map(|(since, job, index)| WaitingTask {
@@ -108,19 +108,19 @@
         index: TaskIndex,
     ) -> &mut usize {
         let is_active = executor.info.as_ref().is_some_and(|info| !info.is_draining);
-        if !is_active || !executor.is_listed || executor.is_over {
+        if !is_active || !executor.is_listed || executor.has_ended {
             &mut self.leaving
         } else if !executor.is_responsive(now) {
             &mut self.silent
         } else if now < executor.avoid_until || executor.is_frozen {
             &mut self.left_out
-        } else if executor.is_watching(now) {
+        } else if executor.is_isolating(now) {
             &mut self.watched
         } else if is_vacating {
             &mut self.vacating
         } else if !is_eligible(executor, job, index) {
             &mut self.unsuited
-        } else if !job.step(index).booked().fits(&executor.free()) {
+        } else if !job.step(index).allocated().fits(&executor.free()) {
             &mut self.full
         } else {
             &mut self.open
@@ -138,5 +138,5 @@
         return None;
     }
     let waiting = job.startable.iter().filter(|&&index| job.tasks[index].phase == Phase::Waiting);
-    waiting.map(|&index| (job.tasks[index].waits_since, index)).min()
+    waiting.map(|&index| (job.tasks[index].waiting_since, index)).min()
 }
--- a/crates/jackdawpier_fleet/src/job.rs
+++ b/crates/jackdawpier_fleet/src/job.rs
@@ -8,9 +8,9 @@
 };
 
 use crate::{
-    crash::{Crash, Retry, is_given_up, is_on_trial, retry, watched_for},
-    executor::LifeId,
-    record::{JobOutcome, JobRecord, Remains, Standing, TaskRecord},
+    crash::{Crash, Retry, is_given_up, is_on_probation, isolation_time, retry},
+    executor::IncarnationId,
+    record::{JobOutcome, JobRecord, LeftoverUsage, TaskRecord, TaskStatus},
     spec::{JobSpec, QueueName, Resources, RunNumber, StepSpec, Submission, TaskKey},
 };
 
@@ -29,7 +29,7 @@
     /// The executor has confirmed the start.
     Running { executor: ExecutorId, since: Now },
     /// An earlier owner placed it; the executor hasn't spoken under this ownership yet.
-    Doubt { executor: ExecutorId },
+    Inherited { executor: ExecutorId },
     /// It has been ordered to stop.
     Stopping { executor: ExecutorId, order: StopOrder },
     /// It has ended well.
@@ -55,7 +55,7 @@
             Self::Planned { executor }
             | Self::Starting { executor }
             | Self::Running { executor, .. }
-            | Self::Doubt { executor }
+            | Self::Inherited { executor }
             | Self::Stopping { executor, .. } => Some(executor),
         }
     }
@@ -74,7 +74,7 @@
     /// Executors crash under it: it is tried again after a pause if it lasts, or else not started again.
     pub(crate) is_given_up: bool,
     /// The life of the executor that it was last placed on, if that is known.
-    pub(crate) placed_in: Option<LifeId>,
+    pub(crate) placed_incarnation: Option<IncarnationId>,
     /// When the order for the present run left.
     pub(crate) ordered_at: Now,
     /// When it is known that this order has no answer, if its executor is asked before the run is stopped.
@@ -83,11 +83,11 @@
     pub(crate) confirmed_at: Option<Now>,
     pub(crate) checkpoint: Box<str>,
     /// Until then an order to stop the present run may still be carried out, though it was taken back.
-    pub(crate) may_stop_until: Now,
+    pub(crate) late_stop_until: Now,
     /// When the executor last reported that the present run is there.
-    pub(crate) listed_at: Option<Now>,
+    pub(crate) last_reported_at: Option<Now>,
     /// Last share of its full speed that the executor reported, in percent.
-    pub(crate) percent: u32,
+    pub(crate) speed_percent: u32,
     /// Share of its full speed that was last ordered, in percent.
     pub(crate) pace_percent: u32,
     /// Since when it has been at work at full speed without a break.
@@ -95,7 +95,7 @@
     /// Not to be placed before this time.
     pub(crate) not_before: Now,
     /// Since when it has been startable without running.
-    pub(crate) waits_since: Now,
+    pub(crate) waiting_since: Now,
 }
 
 impl Task {
@@ -107,27 +107,27 @@
             crashes: Vec::new(),
             refused_runs: Vec::new(),
             is_given_up: false,
-            placed_in: None,
+            placed_incarnation: None,
             ordered_at: Now::ZERO,
             unanswered_at: None,
             confirmed_at: None,
             checkpoint: "".into(),
-            may_stop_until: Now::ZERO,
-            listed_at: None,
-            percent: 100,
+            late_stop_until: Now::ZERO,
+            last_reported_at: None,
+            speed_percent: 100,
             pace_percent: 100,
             at_work_since: None,
             not_before: Now::ZERO,
-            waits_since: Now::ZERO,
+            waiting_since: Now::ZERO,
         }
     }
 
     /// Its executor lists it though it was ordered to stop, and no try of that was taken: it goes on. One of them may
     /// still be carried out within `late`.
-    pub(crate) fn take_stop_back(&mut self, now: Now, late: Duration) {
+    pub(crate) fn revert_stop(&mut self, now: Now, late: Duration) {
         if let Phase::Stopping { executor, order: StopOrder::Unanswered } = &self.phase {
             self.phase = Phase::Running { executor: executor.clone(), since: now };
-            self.may_stop_until = now + late;
+            self.late_stop_until = now + late;
         }
     }
 
@@ -145,28 +145,28 @@
 
     /// Counts a run during which its executor crashed, and returns whether that is news.
     pub(crate) fn note_crash(&mut self, crash: Crash) -> bool {
-        let is_news = self.crashes.iter().all(|known| known.run != crash.run);
-        if is_news {
+        let is_new = self.crashes.iter().all(|known| known.run != crash.run);
+        if is_new {
             self.crashes.push(crash);
         }
-        is_news
+        is_new
     }
 
     /// Another task turned out to be the cause of the crash of this run, unless this one was watched;
     /// returns whether that is news.
-    pub(crate) fn explain_crash(&mut self, run: RunNumber) -> bool {
-        let crash = self.crashes.iter_mut().find(|crash| crash.run == run && !crash.is_watched);
-        crash.is_some_and(|crash| !std::mem::replace(&mut crash.is_explained, true))
+    pub(crate) fn attribute_crash_elsewhere(&mut self, run: RunNumber) -> bool {
+        let crash = self.crashes.iter_mut().find(|crash| crash.run == run && !crash.is_isolated);
+        crash.is_some_and(|crash| !std::mem::replace(&mut crash.has_other_cause, true))
     }
 
     /// The executor lived on long enough for it to be no cause of earlier crashes; returns whether there were
     /// any.
     pub(crate) fn clear_crashes(&mut self) -> bool {
-        let is_news = self.is_given_up || !self.crashes.is_empty();
+        let is_new = self.is_given_up || !self.crashes.is_empty();
         self.is_given_up = false;
         self.crashes.clear();
         self.refused_runs.clear();
-        is_news
+        is_new
     }
 
     /// Its present run was refused, so it is no start that counts; unless its executor may have crashed under it.
@@ -178,7 +178,7 @@
     }
 
     /// Whether executors have crashed under it so often that it isn't started again.
-    pub(crate) fn crashes_too_often(&self, lasts: bool) -> bool {
+    pub(crate) fn is_given_up_after_crashes(&self, lasts: bool) -> bool {
         is_given_up(&self.crashes, self.run, &self.refused_runs, lasts)
     }
 
@@ -187,19 +187,21 @@
     }
 
     /// For how long it is watched once it starts; none if it isn't.
-    pub(crate) fn watched_for(&self, lasts: bool) -> Option<Duration> {
-        watched_for(&self.crashes, lasts)
+    pub(crate) fn isolation_time(&self, lasts: bool) -> Option<Duration> {
+        isolation_time(&self.crashes, lasts)
     }
 
     fn record(&self) -> TaskRecord {
-        let standing = match (&self.phase, self.phase.executor()) {
-            (Phase::Done, _) => Standing::Done,
-            (_, Some(executor)) => Standing::Placed(executor.clone()),
-            (_, None) => Standing::Waiting,
+        let status = match (&self.phase, self.phase.executor()) {
+            (Phase::Done, _) => TaskStatus::Done,
+            (_, Some(executor)) => TaskStatus::Placed(executor.clone()),
+            (_, None) => TaskStatus::Waiting,
         };
         TaskRecord {
-            placed_in: self.placed_in.filter(|_| matches!(standing, Standing::Placed(_))),
-            standing,
+            placed_incarnation: self
+                .placed_incarnation
+                .filter(|_| matches!(status, TaskStatus::Placed(_))),
+            status,
             run: self.run,
             failed_runs: self.failed_runs.clone(),
             crashes: self.crashes.clone(),
@@ -232,7 +234,7 @@
     /// Tasks that wait for an executor, in the order in which they are tried.
     pub(crate) startable: VecDeque<TaskIndex>,
     /// When some of them last got one.
-    pub(crate) served_at: Option<Now>,
+    pub(crate) last_placed_at: Option<Now>,
     pub(crate) outcome: Option<JobOutcome>,
     /// Time of day at which it was over.
     pub(crate) ended_ms: u64,
@@ -241,19 +243,19 @@
     /// An earlier owner ordered some task more than once.
     had_rerun: bool,
     /// Estimated time from each step to the end.
-    pub(crate) chains: Vec<Duration>,
+    pub(crate) remaining_chains: Vec<Duration>,
     first_task_of_step: Vec<usize>,
     tasks_per_occurrence: usize,
     /// Counts changes of the durable state.
     pub(crate) changes: u64,
     /// Executors with ends that are durable once that many changes are.
-    pub(crate) unsettled: Vec<(u64, ExecutorId)>,
+    pub(crate) unacknowledged_ends: Vec<(u64, ExecutorId)>,
     pub(crate) durable_changes: u64,
     pub(crate) is_writing: bool,
     pub(crate) is_dirty: bool,
     pub(crate) revision: Revision,
     /// The outcome as far as it is durable: what callers may be told.
-    pub(crate) shown: Option<JobOutcome>,
+    pub(crate) durable_outcome: Option<JobOutcome>,
 }
 
 impl Job {
@@ -283,22 +285,22 @@
             progress: one.repeat(occurrences),
             began_at: vec![accepted_at; occurrences],
             startable: VecDeque::new(),
-            served_at: None,
+            last_placed_at: None,
             outcome: None,
             ended_ms: 0,
             is_cancelled: false,
             has_begun: false,
             had_rerun: false,
-            chains: spec.remaining_chains(),
+            remaining_chains: spec.remaining_chains(),
             first_task_of_step,
             tasks_per_occurrence,
             changes: 0,
-            unsettled: Vec::new(),
+            unacknowledged_ends: Vec::new(),
             durable_changes: 0,
             is_writing: false,
             is_dirty: false,
             revision: 0,
-            shown: None,
+            durable_outcome: None,
             spec,
         }
     }
@@ -307,7 +309,7 @@
     pub(crate) fn restore(&mut self, record: &JobRecord, revision: Revision) {
         self.revision = revision;
         self.outcome = record.outcome;
-        self.shown = record.outcome;
+        self.durable_outcome = record.outcome;
         self.has_begun = record.has_begun;
         self.had_rerun = record.has_rerun;
         for (index, (task, known)) in self.tasks.iter_mut().zip(&record.tasks).enumerate() {
@@ -316,14 +318,14 @@
             task.crashes.clone_from(&known.crashes);
             task.refused_runs.clone_from(&known.refused_runs);
             task.is_given_up = known.is_given_up;
-            task.placed_in = known.placed_in;
+            task.placed_incarnation = known.placed_incarnation;
             task.checkpoint.clone_from(&known.checkpoint);
-            match &known.standing {
-                Standing::Waiting => {}
-                Standing::Placed(executor) => {
-                    task.phase = Phase::Doubt { executor: executor.clone() };
+            match &known.status {
+                TaskStatus::Waiting => {}
+                TaskStatus::Placed(executor) => {
+                    task.phase = Phase::Inherited { executor: executor.clone() };
                 }
-                Standing::Done => {
+                TaskStatus::Done => {
                     task.phase = Phase::Done;
                     let per_occurrence = self.tasks_per_occurrence;
                     let step = step_at(&self.first_task_of_step, index % per_occurrence);
@@ -351,7 +353,7 @@
     }
 
     /// What may still be running of a job that is over; none if nothing is, or nobody's cap covers it.
-    fn remains(&self) -> Option<Remains> {
+    fn remains(&self) -> Option<LeftoverUsage> {
         self.account.as_ref().filter(|_| self.is_over())?;
         let mut amount = Resources::default();
         for (index, task) in self.tasks.iter().enumerate() {
@@ -359,7 +361,8 @@
                 amount.add(&self.step(index).need);
             }
         }
-        (amount != Resources::default()).then_some(Remains { amount, ended_ms: self.ended_ms })
+        (amount != Resources::default())
+            .then_some(LeftoverUsage { amount, ended_ms: self.ended_ms })
     }
 
     /// Whether a task may have been started again after this run of it.
@@ -442,7 +445,7 @@
                 }
                 for index in self.tasks_of(slot) {
                     if self.tasks[index].phase == Phase::Waiting {
-                        self.wait(now, index);
+                        self.enqueue(now, index);
                     }
                 }
             }
@@ -450,15 +453,15 @@
     }
 
     /// Puts a task at the end of those that wait for an executor, if it may be started.
-    pub(crate) fn wait(&mut self, now: Now, index: TaskIndex) {
+    pub(crate) fn enqueue(&mut self, now: Now, index: TaskIndex) {
         if self.retry(index) == Retry::AtOnce {
-            self.try_again(now, index);
+            self.enqueue_now(now, index);
         }
     }
 
     /// Puts a task there again that was held back for its crashes.
-    pub(crate) fn try_again(&mut self, now: Now, index: TaskIndex) {
-        self.tasks[index].waits_since = now;
+    pub(crate) fn enqueue_now(&mut self, now: Now, index: TaskIndex) {
+        self.tasks[index].waiting_since = now;
         self.startable.push_back(index);
     }
 
@@ -478,9 +481,9 @@
     }
 
     /// Whether a task that lasts is on trial when it starts.
-    pub(crate) fn is_on_trial(&self, index: TaskIndex) -> bool {
+    pub(crate) fn is_on_probation(&self, index: TaskIndex) -> bool {
         let step = self.step(index);
-        step.is_long_running && !step.is_gang && is_on_trial(&self.tasks[index].crashes)
+        step.is_long_running && !step.is_gang && is_on_probation(&self.tasks[index].crashes)
     }
 
     /// Time of day at which an occurrence is due; none for a job without a schedule.
@@ -501,18 +504,18 @@
 
     /// Whether a task that was ordered to stop may as well go on: what its order was for can wait until its step can spare
     /// it, or hasn't come true.
-    pub(crate) fn may_go_on(&self, index: TaskIndex) -> bool {
+    pub(crate) fn may_continue(&self, index: TaskIndex) -> bool {
         let step = self.step(index);
         step.is_long_running && !step.is_gang && !self.is_over()
     }
 
     /// Whether some of its tasks run until it is cancelled.
-    pub(crate) fn lasts(&self) -> bool {
+    pub(crate) fn has_long_running_tasks(&self) -> bool {
         self.spec.steps.iter().any(|step| step.is_long_running)
     }
 
     /// When the occurrence began that its next task belongs to.
-    pub(crate) fn next_began_at(&self) -> Now {
+    pub(crate) fn next_occurrence_began_at(&self) -> Now {
         let next = self.startable.front().copied().unwrap_or(0);
         self.began_at[next / self.tasks_per_occurrence.max(1)]
     }
@@ -530,14 +533,14 @@
             .iter()
             .enumerate()
             .filter(|(_, progress)| progress.remaining > 0 && progress.is_open)
-            .map(|(slot, _)| self.chains[slot % steps])
+            .map(|(slot, _)| self.remaining_chains[slot % steps])
             .max()
             .unwrap_or_default()
     }
 
     /// The estimated time of the longest chain of the whole job.
     pub(crate) fn longest_chain(&self) -> Duration {
-        self.chains.iter().copied().max().unwrap_or_default()
+        self.remaining_chains.iter().copied().max().unwrap_or_default()
     }
 }
 
--- a/crates/jackdawpier_fleet/src/order.rs
+++ b/crates/jackdawpier_fleet/src/job_rank.rs
@@ -20,8 +20,8 @@
 
 impl Rank {
     /// The job can't earn anything any more.
-    pub(crate) fn is_hopeless(&self) -> bool {
-        self.lateness == Lateness::Hopeless
+    pub(crate) fn is_expired(&self) -> bool {
+        self.lateness == Lateness::Expired
     }
 }
 
@@ -31,11 +31,11 @@
     LongRunning,
     OnTime,
     Late,
-    Hopeless,
+    Expired,
 }
 
 /// A late job counts as late up to this many times its objective; after that it earns nothing.
-const HOPELESS_AFTER: u32 = 3;
+const EXPIRED_AFTER_OBJECTIVES: u32 = 3;
 
 /// The time that the queue gives a job from its acceptance.
 pub(crate) fn objective(job: &Job, queue: &Queue) -> Duration {
@@ -44,19 +44,19 @@
 
 pub(crate) fn rank(now: Now, job: &Job, queue: &Queue, policy: Policy) -> Rank {
     let objective = objective(job, queue);
-    let began_at = job.next_began_at();
+    let began_at = job.next_occurrence_began_at();
     let due = began_at + objective;
     let ends_at = now + job.remaining_estimate();
-    let lateness = if job.lasts() {
+    let lateness = if job.has_long_running_tasks() {
         Lateness::LongRunning
     } else if ends_at <= due {
         Lateness::OnTime
-    } else if ends_at <= began_at + objective * HOPELESS_AFTER {
+    } else if ends_at <= began_at + objective * EXPIRED_AFTER_OBJECTIVES {
         Lateness::Late
     } else {
-        Lateness::Hopeless
+        Lateness::Expired
     };
-    if !policy.orders_by_due && lateness != Lateness::LongRunning {
+    if !policy.orders_by_due_time && lateness != Lateness::LongRunning {
         return Rank { priority: queue.priority, lateness: Lateness::OnTime, due: began_at };
     }
     Rank { priority: queue.priority, lateness, due }
--- a/crates/jackdawpier_fleet/src/machines.rs
+++ b/crates/jackdawpier_fleet/src/machines.rs
@@ -11,7 +11,7 @@
     ids::{ExecutorId, PoolName},
 };
 
-use crate::{fleet::LossEvidence, spec::Label, table::Table};
+use crate::{fleet::LossEvidence, sorted_hash_map::SortedHashMap, spec::Label};
 
 /// Name of a machine, which it keeps over the lives of its executors.
 pub type MachineId = Arc<str>;
@@ -56,7 +56,7 @@
     /// From its announcement all have to be maintained within this time.
     pub within: Duration,
     /// Most machines of it that may be away at once.
-    pub most_away: usize,
+    pub max_away: usize,
 }
 
 /// An order about a machine.
@@ -79,7 +79,7 @@
 
 /// How an order about a machine ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum MachineOrderEnd {
+pub enum MachineOrderOutcome {
     /// It is being carried out, or was before.
     Taken,
     /// The machine isn't up; ask later.
@@ -104,35 +104,35 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub(crate) enum Stage {
+pub(crate) enum OperationStage {
     /// No new work goes there; what runs may end.
     Vacating { since: Now },
     /// The order has left. While its end isn't known no other may leave: an answer tells of one order, and would be
     /// taken for the end of all.
-    Ordered { at: Now, is_under_way: bool },
+    Ordered { at: Now, is_in_flight: bool },
     /// The order was taken; the machine comes back with another executor.
     Away { since: Now },
 }
 
 #[derive(Debug, Clone)]
-pub(crate) struct Errand {
+pub(crate) struct MachineOperation {
     pub(crate) work: MachineWork,
-    pub(crate) stage: Stage,
+    pub(crate) stage: OperationStage,
     /// The executor that lived there when it began.
     pub(crate) executor: Option<ExecutorId>,
     /// Not to be ordered before this time, after a refusal.
     pub(crate) not_before: Now,
     /// Until then an order that wasn't answered may still be carried out, whatever becomes of later ones.
-    pub(crate) unsure_until: Now,
+    pub(crate) may_execute_until: Now,
     /// Tasks that ran there when it was last looked at.
     pub(crate) tasks: usize,
     /// When it began, or a task last left the machine.
-    pub(crate) progress_at: Now,
+    pub(crate) last_progress_at: Now,
 }
 
-impl Errand {
+impl MachineOperation {
     pub(crate) fn is_away(&self) -> bool {
-        !matches!(self.stage, Stage::Vacating { .. })
+        !matches!(self.stage, OperationStage::Vacating { .. })
     }
 }
 
@@ -146,7 +146,7 @@
 }
 
 impl WaveProgress {
-    pub(crate) fn is_open(&self, machine: &MachineId) -> bool {
+    pub(crate) fn is_pending(&self, machine: &MachineId) -> bool {
         !self.maintained.contains(machine) && !self.refused.contains(machine)
     }
 
@@ -164,111 +164,115 @@
 pub(crate) struct Machines {
     /// Orders of an earlier holder may still arrive before this time, about any machine until it is
     /// known which ones it ordered lately.
-    pub(crate) orders_from: Now,
+    pub(crate) orders_allowed_from: Now,
     /// The machines that it ordered lately, with that time.
-    held: BTreeMap<MachineId, Now>,
+    locked_until: BTreeMap<MachineId, Now>,
     pub(crate) listed: BTreeMap<MachineId, MachineInfo>,
     pub(crate) has_listing: bool,
     /// When the last list was asked for; before the first, when this owner began.
-    listed_at: Now,
+    last_listing_at: Now,
     /// How long after the one before, or after this owner's begin, the last list was asked for.
-    list_gap: Duration,
-    pub(crate) errands: BTreeMap<MachineId, Errand>,
+    last_listing_gap: Duration,
+    pub(crate) operations: BTreeMap<MachineId, MachineOperation>,
     pub(crate) waves: BTreeMap<WaveNumber, WaveProgress>,
     /// Pools that don't take a machine, since they are of other machines.
     pub(crate) refused_moves: BTreeSet<(MachineId, PoolName)>,
-    machine_of: Table<ExecutorId, MachineId>,
+    machine_of: SortedHashMap<ExecutorId, MachineId>,
     /// The list doesn't name all executors yet: one of them may live on any machine that seems idle.
     pub(crate) may_be_occupied: bool,
     /// Machines whose executor's life was over after the last list: another one may be there by now.
-    reoccupied: BTreeSet<MachineId>,
+    stale_machines: BTreeSet<MachineId>,
 }
 
 impl Machines {
-    pub(crate) fn new(started_at: Now, orders_from: Now) -> Self {
+    pub(crate) fn new(started_at: Now, orders_allowed_from: Now) -> Self {
         Self {
-            orders_from,
-            held: BTreeMap::new(),
+            orders_allowed_from,
+            locked_until: BTreeMap::new(),
             listed: BTreeMap::new(),
             has_listing: false,
-            listed_at: started_at,
-            list_gap: Duration::ZERO,
-            errands: BTreeMap::new(),
+            last_listing_at: started_at,
+            last_listing_gap: Duration::ZERO,
+            operations: BTreeMap::new(),
             waves: BTreeMap::new(),
             refused_moves: BTreeSet::new(),
-            machine_of: Table::default(),
+            machine_of: SortedHashMap::default(),
             may_be_occupied: false,
-            reoccupied: BTreeSet::new(),
+            stale_machines: BTreeSet::new(),
         }
     }
 
     /// An executor's life is over, as the list doesn't show yet.
-    pub(crate) fn note_lapsed(&mut self, executor: &ExecutorId) {
-        self.reoccupied.extend(self.machine_of.get(executor).cloned());
+    pub(crate) fn note_executor_ended(&mut self, executor: &ExecutorId) {
+        self.stale_machines.extend(self.machine_of.get(executor).cloned());
     }
 
     /// Whether the last list tells which executor lives on a machine.
     pub(crate) fn knows_executor(&self, machine: &MachineId) -> bool {
-        !self.reoccupied.contains(machine)
+        !self.stale_machines.contains(machine)
     }
 
     /// Only these machines were ordered lately by an earlier holder, at least so long ago.
-    pub(crate) fn hold(&mut self, now: Now, machines: Vec<(MachineId, Duration)>) {
-        let until = std::mem::replace(&mut self.orders_from, now);
-        let held = machines.into_iter();
-        self.held = held.map(|(machine, age)| (machine, until.saturating_sub(age))).collect();
+    pub(crate) fn restore_recent_orders(&mut self, now: Now, machines: Vec<(MachineId, Duration)>) {
+        let until = std::mem::replace(&mut self.orders_allowed_from, now);
+        let locked_until = machines.into_iter();
+        self.locked_until =
+            locked_until.map(|(machine, age)| (machine, until.saturating_sub(age))).collect();
     }
 
     /// When a machine may be ordered first.
-    pub(crate) fn free_from(&self, machine: &MachineId) -> Now {
-        self.held.get(machine).map_or(self.orders_from, |until| self.orders_from.max(*until))
+    pub(crate) fn orderable_from(&self, machine: &MachineId) -> Now {
+        self.locked_until
+            .get(machine)
+            .map_or(self.orders_allowed_from, |until| self.orders_allowed_from.max(*until))
     }
 
     /// Whether an earlier holder's order about a machine may still arrive.
-    pub(crate) fn is_held(&self, now: Now, machine: &MachineId) -> bool {
-        now < self.free_from(machine)
+    pub(crate) fn is_locked(&self, now: Now, machine: &MachineId) -> bool {
+        now < self.orderable_from(machine)
     }
 
     /// The same of the machine on which an executor lives.
-    pub(crate) fn holds_executor(&self, now: Now, executor: &ExecutorId) -> bool {
-        self.machine_of.get(executor).is_some_and(|machine| self.is_held(now, machine))
+    pub(crate) fn is_executor_locked(&self, now: Now, executor: &ExecutorId) -> bool {
+        self.machine_of.get(executor).is_some_and(|machine| self.is_locked(now, machine))
     }
 
     /// Takes in a listing, and returns on which machines executors lived by the one before.
-    pub(crate) fn list(
+    pub(crate) fn apply_listing(
         &mut self,
         asked_at: Now,
         machines: Vec<MachineInfo>,
-    ) -> Table<ExecutorId, MachineId> {
+    ) -> SortedHashMap<ExecutorId, MachineId> {
         let former = std::mem::take(&mut self.machine_of);
         self.machine_of = machines
             .iter()
             .filter_map(|info| Some((info.executor.clone()?, info.id.clone())))
             .collect();
-        self.reoccupied.clear();
+        self.stale_machines.clear();
         self.listed = machines.into_iter().map(|info| (info.id.clone(), info)).collect();
-        for (machine, errand) in &mut self.errands {
+        for (machine, operation) in &mut self.operations {
             // It may have failed and come back before its turn came.
-            if let (Stage::Vacating { .. }, Some(info)) = (&errand.stage, self.listed.get(machine))
+            if let (OperationStage::Vacating { .. }, Some(info)) =
+                (&operation.stage, self.listed.get(machine))
             {
-                errand.executor.clone_from(&info.executor);
+                operation.executor.clone_from(&info.executor);
             }
         }
-        self.list_gap = asked_at.saturating_sub(self.listed_at);
-        self.listed_at = asked_at;
+        self.last_listing_gap = asked_at.saturating_sub(self.last_listing_at);
+        self.last_listing_at = asked_at;
         self.has_listing = true;
         former
     }
 
     /// The executors that the last listing names.
-    pub(crate) fn executors(&self) -> impl Iterator<Item = &ExecutorId> {
+    pub(crate) fn listed_executors(&self) -> impl Iterator<Item = &ExecutorId> {
         self.machine_of.keys()
     }
 
     /// Why an executor isn't named any more: its machine was moved or maintained, by this owner's order or an
     /// earlier one's, or it has crashed; `machine` is the one that it was last listed on. An order alone proves
     /// nothing: one that had been carried out before changes nothing.
-    pub(crate) fn why_gone(
+    pub(crate) fn loss_evidence(
         &self,
         executor: &ExecutorId,
         machine: Option<&MachineId>,
@@ -278,23 +282,24 @@
             return LossEvidence::Taken;
         }
         let is_ordered = self
-            .errands
+            .operations
             .values()
-            .any(|errand| errand.is_away() && errand.executor.as_ref() == Some(executor));
+            .any(|operation| operation.is_away() && operation.executor.as_ref() == Some(executor));
         if is_ordered { LossEvidence::PerhapsTaken } else { LossEvidence::Unlisted }
     }
 
     /// For how long no list was seen before the last one, or has been since.
-    pub(crate) fn unlisted_for(&self, now: Now) -> Duration {
-        self.list_gap.max(now.saturating_sub(self.listed_at))
+    pub(crate) fn listing_gap(&self, now: Now) -> Duration {
+        self.last_listing_gap.max(now.saturating_sub(self.last_listing_at))
     }
 
     /// When an order about the machine of an executor left or was taken; none if this owner hasn't ordered it.
     pub(crate) fn ordered_at(&self, executor: &ExecutorId) -> Option<Now> {
-        let of_executor = |errand: &&Errand| errand.executor.as_ref() == Some(executor);
-        self.errands.values().filter(of_executor).find_map(|errand| match errand.stage {
-            Stage::Vacating { .. } => None,
-            Stage::Ordered { at, .. } | Stage::Away { since: at } => Some(at),
+        let of_executor =
+            |operation: &&MachineOperation| operation.executor.as_ref() == Some(executor);
+        self.operations.values().filter(of_executor).find_map(|operation| match operation.stage {
+            OperationStage::Vacating { .. } => None,
+            OperationStage::Ordered { at, .. } | OperationStage::Away { since: at } => Some(at),
         })
     }
 
@@ -304,33 +309,32 @@
     }
 
     /// Whether an executor lives on some machine by the last listing.
-    pub(crate) fn has_executor(&self, executor: &ExecutorId) -> bool {
+    pub(crate) fn is_executor_listed(&self, executor: &ExecutorId) -> bool {
         self.machine_of.contains_key(executor)
     }
 
     /// Executors that get no new work, since their machines are about to be taken.
-    pub(crate) fn vacating(&self) -> impl Iterator<Item = &ExecutorId> {
-        self.errands.iter().filter_map(|(machine, errand)| {
-            let executor = errand.executor.as_ref()?;
+    pub(crate) fn vacating_executors(&self) -> impl Iterator<Item = &ExecutorId> {
+        self.operations.iter().filter_map(|(machine, operation)| {
+            let executor = operation.executor.as_ref()?;
             // One that is being taken isn't listed any more, though the registry names it a while longer.
-            let is_there = errand.is_away() || self.machine_of.get(executor) == Some(machine);
+            let is_there = operation.is_away() || self.machine_of.get(executor) == Some(machine);
             is_there.then_some(executor)
         })
     }
 
     /// Whether the order that ends an executor has left.
     pub(crate) fn is_leaving(&self, executor: &ExecutorId) -> bool {
-        self.machine_of
-            .get(executor)
-            .and_then(|machine| self.errands.get(machine))
-            .is_some_and(|errand| errand.is_away() && errand.executor.as_ref() == Some(executor))
+        self.machine_of.get(executor).and_then(|machine| self.operations.get(machine)).is_some_and(
+            |operation| operation.is_away() && operation.executor.as_ref() == Some(executor),
+        )
     }
 
     /// Whether the machine of an executor has maintenance to come.
-    pub(crate) fn is_due(&self, executor: &ExecutorId) -> bool {
+    pub(crate) fn has_pending_maintenance(&self, executor: &ExecutorId) -> bool {
         self.machine_of.get(executor).is_some_and(|machine| {
             self.waves.values().any(|one| {
-                !one.is_completed && one.wave.machines.contains(machine) && one.is_open(machine)
+                !one.is_completed && one.wave.machines.contains(machine) && one.is_pending(machine)
             })
         })
     }
--- a/crates/jackdawpier_fleet/src/record.rs
+++ b/crates/jackdawpier_fleet/src/record.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     crash::Crash,
-    executor::LifeId,
+    executor::IncarnationId,
     spec::{Resources, RunNumber},
 };
 
@@ -25,7 +25,7 @@
 
 /// Where a task stands durably.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum TaskStatus {
     /// Nothing of it runs anywhere.
     #[default]
     #[serde(rename = "w")]
@@ -43,10 +43,10 @@
 pub struct TaskRecord {
     /// Where it stands.
     #[serde(rename = "s")]
-    pub standing: Standing,
+    pub status: TaskStatus,
     /// The life of the executor that it was placed on, if that is known.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
-    pub placed_in: Option<LifeId>,
+    pub placed_incarnation: Option<IncarnationId>,
     /// Number of its last start; 0 before the first.
     #[serde(rename = "r", default)]
     pub run: RunNumber,
@@ -72,7 +72,7 @@
 /// What a job that is over may have left running: its tasks were told to stop and hadn't said yet that
 /// they did.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Remains {
+pub struct LeftoverUsage {
     /// The room of those tasks.
     pub amount: Resources,
     /// Time of day of the job's end, in milliseconds since 1970.
@@ -89,7 +89,7 @@
     pub account: Option<AccountName>,
     /// What may still have been running of it when it was over, for the account's cap.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub remains: Option<Remains>,
+    pub remains: Option<LeftoverUsage>,
     /// Some task has been ordered at least once.
     pub has_begun: bool,
     /// Some task was ordered more than once.
--- a/crates/jackdawpier_fleet/src/table.rs
+++ b/crates/jackdawpier_fleet/src/sorted_hash_map.rs
@@ -18,51 +18,51 @@
 
 /// Rows by key.
 #[derive(Debug)]
-pub(crate) struct Table<K, V> {
-    rows: HashMap<K, V>,
+pub(crate) struct SortedHashMap<K, V> {
+    values: HashMap<K, V>,
     order: BTreeSet<K>,
 }
 
-impl<K, V> Default for Table<K, V> {
+impl<K, V> Default for SortedHashMap<K, V> {
     fn default() -> Self {
-        Self { rows: HashMap::new(), order: BTreeSet::new() }
+        Self { values: HashMap::new(), order: BTreeSet::new() }
     }
 }
 
-impl<K: Clone + Eq + Hash + Ord, V> Table<K, V> {
+impl<K: Clone + Eq + Hash + Ord, V> SortedHashMap<K, V> {
     pub(crate) fn get<Q: Eq + Hash + ?Sized>(&self, key: &Q) -> Option<&V>
     where
         K: Borrow<Q>,
     {
-        self.rows.get(key)
+        self.values.get(key)
     }
 
     pub(crate) fn get_mut<Q: Eq + Hash + ?Sized>(&mut self, key: &Q) -> Option<&mut V>
     where
         K: Borrow<Q>,
     {
-        self.rows.get_mut(key)
+        self.values.get_mut(key)
     }
 
     pub(crate) fn contains_key<Q: Eq + Hash + ?Sized>(&self, key: &Q) -> bool
     where
         K: Borrow<Q>,
     {
-        self.rows.contains_key(key)
+        self.values.contains_key(key)
     }
 
     /// The row of a key; a new one if there is none.
     pub(crate) fn get_or_insert_with(&mut self, key: K, new: impl FnOnce() -> V) -> &mut V {
         let order = &mut self.order;
-        self.rows.entry(key).or_insert_with_key(|key| {
+        self.values.entry(key).or_insert_with_key(|key| {
             order.insert(key.clone());
             new()
         })
     }
 
     /// Sets the row of a key.
-    pub(crate) fn insert(&mut self, key: K, row: V) {
-        if self.rows.insert(key.clone(), row).is_none() {
+    pub(crate) fn insert(&mut self, key: K, value: V) {
+        if self.values.insert(key.clone(), value).is_none() {
             self.order.insert(key);
         }
     }
@@ -72,14 +72,14 @@
         K: Borrow<Q>,
     {
         self.order.remove(key);
-        self.rows.remove(key)
+        self.values.remove(key)
     }
 
     /// Keeps the rows that `is_kept` says, asked in any order.
     pub(crate) fn retain(&mut self, mut is_kept: impl FnMut(&K, &V) -> bool) {
         let order = &mut self.order;
-        self.rows.retain(|key, row| {
-            let stays = is_kept(key, row);
+        self.values.retain(|key, value| {
+            let stays = is_kept(key, value);
             if !stays {
                 order.remove(key);
             }
@@ -88,21 +88,21 @@
     }
 
     /// The keys of the rows that are `wanted`, in order.
-    pub(crate) fn keys_of(&self, wanted: impl Fn(&K, &V) -> bool) -> Vec<K> {
-        let found = self.rows.iter().filter(|(key, row)| wanted(key, row));
+    pub(crate) fn keys_where(&self, wanted: impl Fn(&K, &V) -> bool) -> Vec<K> {
+        let found = self.values.iter().filter(|(key, value)| wanted(key, value));
         let mut keys: Vec<K> = found.map(|(key, _)| key.clone()).collect();
         keys.sort_unstable();
         keys
     }
 
     /// All rows in any order, for counts and maxima, which don't hang on it.
-    pub(crate) fn unordered(&self) -> impl Iterator<Item = &V> {
-        self.rows.values()
+    pub(crate) fn unordered_values(&self) -> impl Iterator<Item = &V> {
+        self.values.values()
     }
 
     /// All rows, in the order of their keys.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
-        self.order.iter().filter_map(|key| Some((key, self.rows.get(key)?)))
+        self.order.iter().filter_map(|key| Some((key, self.values.get(key)?)))
     }
 
     /// All keys in order.
@@ -111,16 +111,16 @@
     }
 }
 
-impl<K: Clone + Eq + Hash + Ord, V> FromIterator<(K, V)> for Table<K, V> {
-    fn from_iter<I: IntoIterator<Item = (K, V)>>(rows: I) -> Self {
+impl<K: Clone + Eq + Hash + Ord, V> FromIterator<(K, V)> for SortedHashMap<K, V> {
+    fn from_iter<I: IntoIterator<Item = (K, V)>>(values: I) -> Self {
         let mut table = Self::default();
-        rows.into_iter().for_each(|(key, row)| table.insert(key, row));
+        values.into_iter().for_each(|(key, value)| table.insert(key, value));
         table
     }
 }
 
 impl<K: Clone + Eq + Hash + Ord + Borrow<Q>, Q: Eq + Hash + ?Sized, V> std::ops::Index<&Q>
-    for Table<K, V>
+    for SortedHashMap<K, V>
 {
     type Output = V;
 
--- a/crates/jackdawpier_fleet/src/spec.rs
+++ b/crates/jackdawpier_fleet/src/spec.rs
@@ -20,15 +20,15 @@
 /// Longest time that a task may be said to take, a year: a chain of as many as a job may have can be added up
 /// and multiplied by any slack. Each owner in turn reads a job that was taken in, so one that can't be
 /// planned with would end them all.
-pub const LONGEST_ESTIMATE: Duration = Duration::from_secs(366 * 24 * 3600);
+pub const MAX_ESTIMATE: Duration = Duration::from_secs(366 * 24 * 3600);
 
 /// Most that a task may ask for of one resource, a million cores or a petabyte: far more than any machine
 /// has, and little enough to be added up over all tasks that wait.
-pub const MOST_OF_A_RESOURCE: u64 = 1_000_000_000;
+pub const MAX_RESOURCE_AMOUNT: u64 = 1_000_000_000;
 
 /// Most work that a job counts as in the rate at which work arrives: it asks for all machines there are,
 /// and a thousand such jobs a second can still be added up.
-pub const MOST_CORE_MS: u64 = 100_000_000_000;
+pub const MAX_CORE_MS: u64 = 100_000_000_000;
 
 /// An amount of an executor's room.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -84,7 +84,7 @@
     }
 
     /// How often `need` fits into this room; nothing at all fits no end of times.
-    pub fn count(&self, need: &Self) -> usize {
+    pub fn fit_count(&self, need: &Self) -> usize {
         let pairs = [
             (self.cpu_millicores, need.cpu_millicores),
             (self.memory_mb, need.memory_mb),
@@ -155,7 +155,7 @@
 
 impl StepSpec {
     /// The room that a task takes on an executor.
-    pub fn booked(&self) -> Resources {
+    pub fn allocated(&self) -> Resources {
         let cpu_millicores = if self.is_filler { 0 } else { self.need.cpu_millicores };
         Resources { cpu_millicores, ..self.need }
     }
@@ -205,7 +205,7 @@
     },
     /// A step waits for itself, for a later step or for one that doesn't exist.
     #[display("step {step} waits for step {after}, which isn't an earlier one")]
-    BadOrder {
+    InvalidDependency {
         /// Number of the step.
         step: usize,
         /// The step it waits for.
@@ -213,19 +213,19 @@
     },
     /// A task is said to take longer than any does.
     #[display("step {step} is estimated at longer than a year")]
-    TooLong {
+    EstimateTooLong {
         /// Number of the step.
         step: usize,
     },
     /// A task asks for more than any machine has.
-    #[display("step {step} asks for more than {MOST_OF_A_RESOURCE} of one resource")]
-    TooMuch {
+    #[display("step {step} asks for more than {MAX_RESOURCE_AMOUNT} of one resource")]
+    NeedTooLarge {
         /// Number of the step.
         step: usize,
     },
     /// The last occurrence has a time that no clock shows.
     #[display("the last time of the schedule is too far away")]
-    EndlessSchedule,
+    ScheduleTooLong,
     /// The job has more tasks than a record can hold.
     #[display("{tasks} tasks are more than {MAX_TASKS_PER_JOB}")]
     TooManyTasks {
@@ -250,18 +250,18 @@
                 return Err(SpecError::EmptyStep { step: number });
             }
             if let Some(&after) = step.after.iter().find(|after| **after >= number) {
-                return Err(SpecError::BadOrder { step: number, after });
+                return Err(SpecError::InvalidDependency { step: number, after });
             }
-            if step.estimate > LONGEST_ESTIMATE {
-                return Err(SpecError::TooLong { step: number });
+            if step.estimate > MAX_ESTIMATE {
+                return Err(SpecError::EstimateTooLong { step: number });
             }
             let need = &step.need;
-            if need.cpu_millicores.max(need.memory_mb).max(need.gpus) > MOST_OF_A_RESOURCE {
-                return Err(SpecError::TooMuch { step: number });
+            if need.cpu_millicores.max(need.memory_mb).max(need.gpus) > MAX_RESOURCE_AMOUNT {
+                return Err(SpecError::NeedTooLarge { step: number });
             }
         }
         if self.schedule.is_some_and(|schedule| schedule.last_ms().is_none()) {
-            return Err(SpecError::EndlessSchedule);
+            return Err(SpecError::ScheduleTooLong);
         }
         let per_occurrence: u64 = self.steps.iter().map(|step| u64::from(step.count)).sum();
         let tasks = per_occurrence.saturating_mul(u64::from(self.occurrences()));
@@ -271,14 +271,15 @@
         Ok(())
     }
 
-    /// The estimated work of one occurrence, in core-milliseconds; at most [`MOST_CORE_MS`].
+    /// The estimated work of one occurrence, in core-milliseconds; at most [`MAX_CORE_MS`].
     pub fn core_ms(&self) -> u64 {
         let of_step = |step: &StepSpec| {
-            let millicore_ms = u128::from(step.booked().cpu_millicores) * step.estimate.as_millis();
+            let millicore_ms =
+                u128::from(step.allocated().cpu_millicores) * step.estimate.as_millis();
             millicore_ms / 1000 * u128::from(step.count)
         };
         let core_ms = self.steps.iter().map(of_step).sum::<u128>();
-        core_ms.min(u128::from(MOST_CORE_MS)) as u64
+        core_ms.min(u128::from(MAX_CORE_MS)) as u64
     }
 
     /// The estimated time of the longest chain of dependent steps from each step to the end.
--- a/crates/jackdawpier_fleet/tests/advice.rs
+++ b/crates/jackdawpier_fleet/tests/advice.rs
@@ -30,7 +30,7 @@
         assert_eq!(executor, approved);
         assert_eq!(ticket.as_deref(), Some(&*format!("ticket-{approved}")));
     }
-    assert_eq!(world.advised, 1, "one answer serves all tasks of the step");
+    assert_eq!(world.advice_requests, 1, "one answer serves all tasks of the step");
 }
 
 #[test]
@@ -39,5 +39,5 @@
     world.submit("j", "q-view", job(vec![step(1, 2, 300)]));
     world.run_for(Duration::from_secs(9));
     assert_eq!(world.runs_of("j"), 0);
-    assert!(world.advised <= 6, "asked {} times in nine seconds", world.advised);
+    assert!(world.advice_requests <= 6, "asked {} times in nine seconds", world.advice_requests);
 }
--- a/crates/jackdawpier_fleet/tests/attempts.rs
+++ b/crates/jackdawpier_fleet/tests/attempts.rs
@@ -36,10 +36,10 @@
         world.run_for(STEP);
     }
     let reported = world.executors.iter().find(|(_, one)| one.has_ends());
-    world.deaf_to = reported.map(|(id, _)| id.clone());
+    world.drops_answers_of = reported.map(|(id, _)| id.clone());
     world.run_for(Duration::from_millis(150));
     world.take_over();
-    world.deaf_to = None;
+    world.drops_answers_of = None;
     let outcome = world.run_until_over("j", Duration::from_secs(10));
     assert_eq!(outcome, Some(JobOutcome::Failed));
     assert_eq!(starts(&world), 3);
--- a/crates/jackdawpier_fleet/tests/beside_lasting.rs
+++ b/crates/jackdawpier_fleet/tests/beside_lasting.rs
@@ -126,7 +126,7 @@
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     // One more than the large work needs: what has run something twice takes no more work.
     let mut world = World::new(&["view"], 4);
-    world.keeps_ids = random.random_bool(0.5);
+    world.restarts_keep_ids = random.random_bool(0.5);
     // Lasting tasks come beside work that fills most of each executor, so they are spread.
     world.submit("first", "q-view", job(vec![step(4, 6, 2_000)]));
     world.run_for(Duration::from_millis(300));
@@ -150,7 +150,7 @@
                 let id = world.executor_of(&machine);
                 let executor = world.executors.get_mut(&id).expect("it lives");
                 let is_cut = !executor.is_cut;
-                executor.cut(is_cut);
+                executor.set_cut(is_cut);
             }
             2 => world.take_over(),
             _ => {
@@ -160,7 +160,7 @@
         }
         world.run_for(Duration::from_millis(random.random_range(10..900)));
     }
-    world.executors.values_mut().for_each(|executor| executor.cut(false));
+    world.executors.values_mut().for_each(|executor| executor.set_cut(false));
     let outcome = world.run_until_over("large", Duration::from_secs(60));
     assert_eq!(outcome, Some(JobOutcome::Completed), "seed {seed}");
     world.run_for(Duration::from_secs(20));
--- a/crates/jackdawpier_fleet/tests/crash_evidence.rs
+++ b/crates/jackdawpier_fleet/tests/crash_evidence.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use jackdawpier_fleet::crash::{
-    Crash, Lived, Retry, Suspicion, is_given_up, retry, suspicion, watched_for,
+    Crash, Retry, RunTimeBounds, Suspicion, is_given_up, isolation_time, retry, suspicion,
 };
 
 fn crash(run: u32) -> Crash {
@@ -11,49 +11,49 @@
 }
 
 fn sudden(run: u32) -> Crash {
-    Crash { is_sudden: true, ..crash(run) }
+    Crash { is_at_start: true, ..crash(run) }
 }
 
 fn shared(run: u32) -> Crash {
-    Crash { is_shared: true, ..crash(run) }
+    Crash { has_likelier_cause: true, ..crash(run) }
 }
 
-fn is_watched(crashes: &[Crash]) -> bool {
-    matches!(suspicion(crashes), Suspicion::Watched(_))
+fn is_isolated(crashes: &[Crash]) -> bool {
+    matches!(suspicion(crashes), Suspicion::Isolated(_))
 }
 
 #[test]
 fn sudden_twice() {
-    assert!(is_watched(&[sudden(1)]));
-    assert_eq!(suspicion(&[sudden(1), sudden(2)]), Suspicion::Plain);
+    assert!(is_isolated(&[sudden(1)]));
+    assert_eq!(suspicion(&[sudden(1), sudden(2)]), Suspicion::Conclusive);
 }
 
 /// What had been there for long beside newcomers is never given up for that alone.
 #[test]
 fn always_shared() {
     let crashes: Vec<Crash> = (1..20).map(shared).collect();
-    assert!(is_watched(&crashes));
+    assert!(is_isolated(&crashes));
     assert!(!is_given_up(&crashes, 30, &[], false));
 }
 
 #[test]
 fn crash_while_watched() {
-    let watched = |run| Crash { is_watched: true, ..crash(run) };
-    assert!(is_watched(&[shared(1), shared(2)]));
+    let watched = |run| Crash { is_isolated: true, ..crash(run) };
+    assert!(is_isolated(&[shared(1), shared(2)]));
     let third = [shared(1), shared(2), watched(3)];
     assert!(is_given_up(&third, 3, &[], false));
     assert!(!is_given_up(&third, 3, &[], true), "one that lasts may have another start");
     let fourth = [shared(1), shared(2), watched(3), shared(4)];
     assert!(is_given_up(&fourth, 4, &[], true));
-    assert_eq!(suspicion(&[crash(1), watched(2), watched(3)]), Suspicion::Plain);
+    assert_eq!(suspicion(&[crash(1), watched(2), watched(3)]), Suspicion::Conclusive);
 }
 
 /// One that another task turned out to have caused is as good as none, but for the third.
 #[test]
 fn explained_crash() {
-    let explained = |run| Crash { is_explained: true, ..sudden(run) };
+    let explained = |run| Crash { has_other_cause: true, ..sudden(run) };
     assert_eq!(suspicion(&[explained(1), explained(2)]), Suspicion::None);
-    assert!(is_watched(&[explained(1), sudden(2)]));
+    assert!(is_isolated(&[explained(1), sudden(2)]));
     assert_ne!(suspicion(&[explained(1), explained(2), shared(3)]), Suspicion::None);
 }
 
@@ -71,16 +71,16 @@
 fn unconfirmed() {
     let unconfirmed = |run| Crash { is_confirmed: false, ..sudden(run) };
     let four: Vec<Crash> = (1..5).map(unconfirmed).collect();
-    assert_ne!(suspicion(&four), Suspicion::Plain);
+    assert_ne!(suspicion(&four), Suspicion::Conclusive);
     let five: Vec<Crash> = (1..6).map(unconfirmed).collect();
-    assert_eq!(suspicion(&five), Suspicion::Plain);
+    assert_eq!(suspicion(&five), Suspicion::Conclusive);
 }
 
 /// A task that lasts is tried again: soon while it is no more than suspect, later once it has crashed on trial, and
 /// never once a cause would have been started twice after its third crash.
 #[test]
 fn two_trials() {
-    let watched = |run| Crash { is_watched: true, ..crash(run) };
+    let watched = |run| Crash { is_isolated: true, ..crash(run) };
     let crashes = [shared(1), shared(2), watched(3), watched(4), watched(5)];
     let after = |count: usize| retry(&crashes[..count], count as u32, &[]);
     assert_eq!([after(1), after(2)], [Retry::AtOnce; 2]);
@@ -96,10 +96,10 @@
 /// A crash on trial after a quite different time than the ones before may be an accident.
 #[test]
 fn lives_differ() {
-    let lived = |least_ms, most_ms| Some(Lived { least_ms, most_ms });
-    let trial = Crash { is_watched: true, lived: lived(100, 300), ..crash(4) };
-    let after = |third: Option<Lived>| {
-        let third = Crash { lived: third, ..crash(3) };
+    let lived = |least_ms, most_ms| Some(RunTimeBounds { least_ms, most_ms });
+    let trial = Crash { is_isolated: true, run_time: lived(100, 300), ..crash(4) };
+    let after = |third: Option<RunTimeBounds>| {
+        let third = Crash { run_time: third, ..crash(3) };
         let Retry::After(pause) = retry(&[shared(1), shared(2), third, trial.clone()], 4, &[])
         else {
             panic!("it has a second trial");
@@ -122,9 +122,9 @@
 /// Only what lasts is watched after one crash that came later than at once, and when it is tried again.
 #[test]
 fn watched_trial() {
-    assert!(watched_for(&[crash(1)], true).is_some());
-    assert!(watched_for(&[crash(1)], false).is_none());
+    assert!(isolation_time(&[crash(1)], true).is_some());
+    assert!(isolation_time(&[crash(1)], false).is_none());
     let plain = [sudden(1), sudden(2)];
-    assert!(watched_for(&plain, true).is_some());
-    assert!(watched_for(&plain, false).is_none());
+    assert!(isolation_time(&plain, true).is_some());
+    assert!(isolation_time(&plain, false).is_none());
 }
--- a/crates/jackdawpier_fleet/tests/crashing_tasks.rs
+++ b/crates/jackdawpier_fleet/tests/crashing_tasks.rs
@@ -137,18 +137,18 @@
 #[test]
 fn ended_unlisted() {
     let mut world = World::new(&["view"], 1);
-    world.hides_machines = true;
+    world.machine_list_unavailable = true;
     world.take_over();
     world.run_for(Duration::from_secs(2));
     world.submit("good", "q-view", job(vec![step(1, 1, 300)]));
     world.run_until_started("good");
     world.run_for(Duration::from_millis(50));
     let executor = world.executor_of("m-view-0");
-    world.executors.get_mut(&executor).expect("it lives").cut(true);
+    world.executors.get_mut(&executor).expect("it lives").set_cut(true);
     world.run_for(Duration::from_millis(700));
     world.crash("m-view-0", Some(Duration::from_secs(1)));
     world.run_for(Duration::from_millis(200));
-    world.hides_machines = false;
+    world.machine_list_unavailable = false;
     world.run_until_started("good");
     world.run_for(Duration::from_millis(150));
     world.crash("m-view-0", Some(Duration::from_secs(1)));
--- a/crates/jackdawpier_fleet/tests/heard_ends.rs
+++ b/crates/jackdawpier_fleet/tests/heard_ends.rs
@@ -13,7 +13,7 @@
     world.submit("j", "q-view", job(vec![step(1, 1, 500)]));
     world.run_until_started("j");
     if !is_heard {
-        world.deaf_to = Some(world.executor_of("m-view-0"));
+        world.drops_answers_of = Some(world.executor_of("m-view-0"));
     }
     while world.runs_of("j") > 0 {
         world.run_for(STEP);
--- a/crates/jackdawpier_fleet/tests/histories.rs
+++ b/crates/jackdawpier_fleet/tests/histories.rs
@@ -170,7 +170,7 @@
             if let Some(id) = executor {
                 let executor = world.executors.get_mut(&id).expect("it lives");
                 let is_cut = !executor.is_cut;
-                executor.cut(is_cut);
+                executor.set_cut(is_cut);
             }
         }
         7 => world.take_over(),
@@ -178,7 +178,7 @@
             let number = world.waves.len() as u64 + 1;
             let chosen = machines.iter().filter(|_| random.random_bool(0.4)).cloned().collect();
             let within = Duration::from_secs(10);
-            world.waves.push(Wave { number, machines: chosen, within, most_away: 2 });
+            world.waves.push(Wave { number, machines: chosen, within, max_away: 2 });
         }
         9 => {
             if !jobs.is_empty() {
@@ -186,21 +186,21 @@
                 world.cancel(&id);
             }
         }
-        10 => world.hides_machines = !world.hides_machines,
+        10 => world.machine_list_unavailable = !world.machine_list_unavailable,
         _ => world.write_delay = Duration::from_millis(random.random_range(10..300)),
     }
 }
 
 fn heal(world: &mut World) {
-    world.executors.values_mut().for_each(|executor| executor.cut(false));
-    world.hides_machines = false;
+    world.executors.values_mut().for_each(|executor| executor.set_cut(false));
+    world.machine_list_unavailable = false;
     world.write_delay = Duration::from_millis(10);
     world.delivery = Box::new(|_| Delivery::Answered);
 }
 
 /// Gives a job to an account, and now and then lets a cap fall or rise.
 fn random_account(world: &mut World, random: &mut ChaCha8Rng, job: &str) {
-    world.accounts.give(job, ACCOUNTS[random.random_range(0..ACCOUNTS.len())]);
+    world.accounts.assign_job(job, ACCOUNTS[random.random_range(0..ACCOUNTS.len())]);
     if random.random_bool(0.2) {
         let account = ACCOUNTS[random.random_range(0..ACCOUNTS.len())];
         world.set_cap(account, cores(random.random_range(2..30)));
@@ -252,7 +252,7 @@
     });
     if crashing > 0.0 {
         world.crashes.after = Duration::from_millis(marks.random_range(10..1_500));
-        world.keeps_ids = marks.random_bool(0.5);
+        world.restarts_keep_ids = marks.random_bool(0.5);
     }
     if is_capped {
         // An order that is carried out late may have left under a former cap.
--- a/crates/jackdawpier_fleet/tests/large_waves.rs
+++ b/crates/jackdawpier_fleet/tests/large_waves.rs
@@ -17,7 +17,7 @@
     world.run_for(Duration::from_secs(4));
     let machines: Vec<Arc<str>> = world.machines.keys().cloned().collect();
     let within = Duration::from_secs(60);
-    world.waves.push(Wave { number: 1, machines, within, most_away: MACHINES / 2 });
+    world.waves.push(Wave { number: 1, machines, within, max_away: MACHINES / 2 });
     world.run_for(Duration::from_millis(500));
     assert_eq!(world.machine_orders.len(), MACHINES / 2);
     world.take_over();
--- a/crates/jackdawpier_fleet/tests/lasting_trials.rs
+++ b/crates/jackdawpier_fleet/tests/lasting_trials.rs
@@ -97,7 +97,7 @@
     world.run_until_started("lasting");
     let machine: Arc<str> = world.machine_of_task("lasting");
     let within = Duration::from_millis(100);
-    world.waves.push(Wave { number: 1, machines: vec![machine], within, most_away: 1 });
+    world.waves.push(Wave { number: 1, machines: vec![machine], within, max_away: 1 });
     let until = world.now + PROOF;
     while world.now < until {
         world.run_for(STEP);
--- a/crates/jackdawpier_fleet/tests/lives.rs
+++ b/crates/jackdawpier_fleet/tests/lives.rs
@@ -10,7 +10,7 @@
 
 fn world_of(executors: usize) -> World {
     let mut world = World::new(&["view"], executors);
-    world.keeps_ids = true;
+    world.restarts_keep_ids = true;
     world
 }
 
@@ -34,7 +34,7 @@
 #[test]
 fn quick_return() {
     let mut world = world_of(2);
-    world.hides_machines = true;
+    world.machine_list_unavailable = true;
     world.submit("j", "q-view", job(vec![step(2, 6, 2_000)]));
     world.run_for(Duration::from_millis(500));
     world.crash("m-view-0", Some(Duration::from_millis(300)));
@@ -75,7 +75,7 @@
 #[test]
 fn crash_and_return() {
     let mut world = world_of(6);
-    world.hides_machines = true;
+    world.machine_list_unavailable = true;
     world.crashes.back_after = Duration::from_millis(100);
     world.crashes.jobs.push("bad".into());
     world.submit("bad", "q-view", job(vec![step(4, 2, 800)]));
@@ -103,7 +103,7 @@
     world.take_over();
     world.run_for(Duration::from_millis(50));
     let cut = world.executor_of(machine);
-    world.executors.get_mut(&cut).expect("it lives").cut(true);
+    world.executors.get_mut(&cut).expect("it lives").set_cut(true);
     let outcome = world.run_until_over("j", Duration::from_secs(40));
     assert_eq!(outcome, Some(JobOutcome::Completed));
 }
--- a/crates/jackdawpier_fleet/tests/lost_executors.rs
+++ b/crates/jackdawpier_fleet/tests/lost_executors.rs
@@ -28,9 +28,9 @@
     world.submit("j", "q-view", job(vec![step(8, 2, 20_000)]));
     world.run_for(Duration::from_millis(500));
     let cut = world.executor_of("m-view-0");
-    world.executors.get_mut(&cut).expect("it lives").cut(true);
+    world.executors.get_mut(&cut).expect("it lives").set_cut(true);
     world.run_for(Duration::from_secs(9));
-    world.executors.get_mut(&cut).expect("it lives").cut(false);
+    world.executors.get_mut(&cut).expect("it lives").set_cut(false);
     let outcome = world.run_until_over("j", Duration::from_secs(60));
     assert_eq!(outcome, Some(JobOutcome::Completed));
 }
@@ -42,7 +42,7 @@
     world.submit("j", "q-view", job(vec![step(2, 6, 1_000)]));
     world.run_for(Duration::from_millis(500));
     let cut = world.executor_of("m-view-0");
-    world.executors.get_mut(&cut).expect("it lives").cut(true);
+    world.executors.get_mut(&cut).expect("it lives").set_cut(true);
     let outcome = world.run_until_over("j", Duration::from_secs(12));
     assert_eq!(outcome, Some(JobOutcome::Completed));
     (world, cut)
@@ -52,7 +52,7 @@
 #[test]
 fn end_found_late() {
     let (mut world, cut) = world_with_lost_end();
-    world.executors.get_mut(&cut).expect("it lives").cut(false);
+    world.executors.get_mut(&cut).expect("it lives").set_cut(false);
     world.run_for(Duration::from_secs(3));
     assert!(world.executors[&cut].has_ends());
 }
@@ -63,7 +63,7 @@
     let (mut world, cut) = world_with_lost_end();
     world.run_for(Duration::from_millis(500));
     world.take_over();
-    world.executors.get_mut(&cut).expect("it lives").cut(false);
+    world.executors.get_mut(&cut).expect("it lives").set_cut(false);
     world.run_for(Duration::from_secs(3));
     assert!(world.executors[&cut].has_ends());
 }
@@ -76,9 +76,10 @@
     world.submit("j", "q-view", job(vec![step(1, 6, 1_000)]));
     world.run_for(Duration::from_millis(500));
     let executors = ["m-view-0", "m-view-1"].map(|machine| world.executor_of(machine));
-    world.deaf_to = executors.into_iter().find(|id| world.executors[id].running().count() > 0);
+    world.drops_answers_of =
+        executors.into_iter().find(|id| world.executors[id].running().count() > 0);
     world.run_for(Duration::from_secs(8));
-    world.deaf_to = None;
+    world.drops_answers_of = None;
     let outcome = world.run_until_over("j", Duration::from_secs(2));
     assert_eq!(outcome, Some(JobOutcome::Completed));
     let starts = world
@@ -124,7 +125,7 @@
     let mut world = World::new(&["view"], 2);
     world.submit("j", "q-view", job(vec![step(2, 3, 9_000)]));
     world.run_for(Duration::from_millis(500));
-    world.unreadable = Some(world.executor_of(&world.machine_of_task("j")));
+    world.unreadable_executor = Some(world.executor_of(&world.machine_of_task("j")));
     world.run_for(Duration::from_millis(500));
     world.submit("later", "q-view", job(vec![step(2, 2, 300)]));
     let outcome = world.run_until_over("later", Duration::from_secs(3));
--- a/crates/jackdawpier_fleet/tests/machine_holders.rs
+++ b/crates/jackdawpier_fleet/tests/machine_holders.rs
@@ -54,7 +54,7 @@
 #[test]
 fn lost_note() {
     let mut world = moving_world();
-    world.loses_note = true;
+    world.order_note_lost = true;
     world.take_over();
     let taken_at = world.now + STEP;
     world.run_for(Duration::from_millis(3400));
--- a/crates/jackdawpier_fleet/tests/pools.rs
+++ b/crates/jackdawpier_fleet/tests/pools.rs
@@ -82,7 +82,7 @@
     world.run_for(Duration::from_secs(4));
     // Half of the pool is asked for, by work for some six machines that comes in each second.
     for number in 0..24 {
-        world.accept(&format!("found-{number}"), "q-view", job(vec![step(2, 1, 4_000)]));
+        world.store_job(&format!("found-{number}"), "q-view", job(vec![step(2, 1, 4_000)]));
         world.now += Duration::from_millis(170);
     }
     world.take_over();
--- a/crates/jackdawpier_fleet/tests/repeated_stops.rs
+++ b/crates/jackdawpier_fleet/tests/repeated_stops.rs
@@ -46,7 +46,7 @@
 
 /// The machine of one more task fails, and no list of machines shows it.
 fn lose_unseen(world: &mut World, machine: &str) {
-    world.hides_machines = true;
+    world.machine_list_unavailable = true;
     world.crash(machine, None);
 }
 
@@ -72,13 +72,13 @@
 fn with_crowded_machine(world: &mut World) -> Arc<str> {
     let cut: Vec<_> =
         ["m-view-1", "m-view-2"].iter().map(|machine| world.executor_of(machine)).collect();
-    cut.iter().for_each(|id| world.executors.get_mut(id).expect("it lives").cut(true));
+    cut.iter().for_each(|id| world.executors.get_mut(id).expect("it lives").set_cut(true));
     world.run_for(Duration::from_secs(2));
     let small = StepSpec { max_per_executor: 2, need: step(1, 2, 0).need, ..lasting(3) };
     world.submit("j", "q-view", job(vec![small]));
     world.run_for(Duration::from_secs(1));
     assert_eq!(world.runs_of("j"), 2);
-    cut.iter().for_each(|id| world.executors.get_mut(id).expect("it lives").cut(false));
+    cut.iter().for_each(|id| world.executors.get_mut(id).expect("it lives").set_cut(false));
     world.run_for(Duration::from_secs(5));
     assert_eq!(world.at_work_of("j"), 3);
     let other = world.busy_machines().into_iter().find(|one| **one != *CROWDED);
@@ -87,7 +87,7 @@
 
 fn wave(number: u64, machine: &str) -> Wave {
     let within = Duration::from_secs(20);
-    Wave { number, machines: vec![machine.into()], within, most_away: 1 }
+    Wave { number, machines: vec![machine.into()], within, max_away: 1 }
 }
 
 /// Runs until a task is told to stop.
@@ -132,7 +132,7 @@
     let mut world = World::new(&["view"], 3);
     let (other, (executor, task, run)) = with_untaken_stop(&mut world);
     assert!(world.fleet.may_send_stop(world.now, &executor, &task, run));
-    world.executors.get_mut(&executor).expect("it lives").cut(true);
+    world.executors.get_mut(&executor).expect("it lives").set_cut(true);
     lose_unseen(&mut world, &other);
     world.run_for(Duration::from_secs(2));
     assert!(!world.fleet.may_send_stop(world.now, &executor, &task, run), "one is away already");
--- a/crates/jackdawpier_fleet/tests/rooms.rs
+++ b/crates/jackdawpier_fleet/tests/rooms.rs
@@ -19,7 +19,7 @@
 
 fn unguarded_world(executors: usize) -> World {
     let mut world = World::new(&["view"], executors);
-    world.executors.values_mut().for_each(|executor| executor.is_unguarded = true);
+    world.executors.values_mut().for_each(|executor| executor.accepts_overload = true);
     world
 }
 
