--- a/crates/jackdawpier_fleet/tests/spared_tasks.rs
+++ b/crates/jackdawpier_fleet/tests/spared_tasks.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use jackdawpier_fleet::{
-    machines::{MachineOrderEnd, MachineWork, Wave},
+    machines::{MachineOrderOutcome, MachineWork, Wave},
     spec::StepSpec,
 };
 use world::{World, job, step};
@@ -20,7 +20,7 @@
         number: 1,
         machines: machines.iter().map(|machine| (*machine).into()).collect(),
         within: Duration::from_secs(within_s),
-        most_away: 4,
+        max_away: 4,
     }
 }
 
@@ -30,7 +30,7 @@
     let mut world = World::new(&["view"], 3);
     world.submit("j", "q-view", job(vec![lasting(3)]));
     world.run_for(Duration::from_secs(7));
-    world.hides_machines = true;
+    world.machine_list_unavailable = true;
     world.crash("m-view-0", None);
     world.run_for(Duration::from_millis(4600));
     world.waves.push(wave(&["m-view-1"], 1));
@@ -45,13 +45,13 @@
     let mut world = World::new(&["view"], 3);
     world.submit("j", "q-view", job(vec![lasting(3)]));
     world.run_for(Duration::from_secs(7));
-    world.takes_machine_orders = false;
+    world.accepts_machine_orders = false;
     world.waves.push(wave(&["m-view-1"], 1));
     world.run_for(Duration::from_millis(500));
-    world.hides_machines = true;
+    world.machine_list_unavailable = true;
     world.crash("m-view-0", None);
     world.run_for(Duration::from_millis(4000));
-    world.takes_machine_orders = true;
+    world.accepts_machine_orders = true;
     world.run_for(Duration::from_millis(1000));
     assert!(world.machine_orders.is_empty(), "one is away already");
 }
@@ -73,13 +73,13 @@
 fn crowded_machine() {
     let mut world = World::new(&["view"], 2);
     let cut: Vec<_> = ["m-view-1"].iter().map(|machine| world.executor_of(machine)).collect();
-    cut.iter().for_each(|id| world.executors.get_mut(id).expect("it lives").cut(true));
+    cut.iter().for_each(|id| world.executors.get_mut(id).expect("it lives").set_cut(true));
     world.run_for(Duration::from_secs(2));
     let small = StepSpec { max_per_executor: 0, need: step(1, 2, 0).need, ..lasting(3) };
     world.submit("j", "q-view", job(vec![small]));
     world.run_for(Duration::from_secs(3));
     assert_eq!(world.runs_of("j"), 3, "all on the one machine that is left");
-    cut.iter().for_each(|id| world.executors.get_mut(id).expect("it lives").cut(false));
+    cut.iter().for_each(|id| world.executors.get_mut(id).expect("it lives").set_cut(false));
     world.run_for(Duration::from_secs(2));
     world.waves.push(wave(&["m-view-0"], 10));
     for _ in 0..1500 {
@@ -96,13 +96,13 @@
     let mut world = World::new(&["view"], 4);
     let cut: Vec<_> =
         ["m-view-2", "m-view-3"].iter().map(|machine| world.executor_of(machine)).collect();
-    cut.iter().for_each(|id| world.executors.get_mut(id).expect("it lives").cut(true));
+    cut.iter().for_each(|id| world.executors.get_mut(id).expect("it lives").set_cut(true));
     world.run_for(Duration::from_secs(2));
     let small = StepSpec { max_per_executor: 2, need: step(1, 2, 0).need, ..lasting(3) };
     world.submit("j", "q-view", job(vec![small]));
     world.run_for(Duration::from_secs(3));
     assert_eq!(world.runs_of("j"), 3);
-    cut.iter().for_each(|id| world.executors.get_mut(id).expect("it lives").cut(false));
+    cut.iter().for_each(|id| world.executors.get_mut(id).expect("it lives").set_cut(false));
     world.run_for(Duration::from_secs(2));
     world.waves.push(wave(&["m-view-0", "m-view-1"], 1));
     for _ in 0..1500 {
@@ -144,14 +144,14 @@
     while world.machine_orders.is_empty() {
         world.run_for(world::STEP);
     }
-    world.takes_machine_orders = false;
-    world.hides_machines = true;
+    world.accepts_machine_orders = false;
+    world.machine_list_unavailable = true;
     world.machine_order_delay = Duration::ZERO;
     world.run_for(Duration::from_millis(700));
-    world.takes_machine_orders = true;
+    world.accepts_machine_orders = true;
     world.run_for(Duration::from_millis(2000));
     assert_eq!(world.machine_orders.len(), 1, "one is away already");
-    world.hides_machines = false;
+    world.machine_list_unavailable = false;
     world.run_for(Duration::from_secs(20));
     assert_eq!(world.machine_orders.len(), 3);
 }
@@ -167,7 +167,7 @@
     world.waves.push(wave(&[&busy[0]], 1));
     let order = world.run_until_ordered();
     assert!(world.fleet.may_send_machine_order(world.now, &order));
-    world.hides_machines = true;
+    world.machine_list_unavailable = true;
     world.crash(&busy[1], None);
     world.run_for(Duration::from_secs(2));
     assert!(!world.fleet.may_send_machine_order(world.now, &order), "one is away already");
@@ -185,11 +185,11 @@
     world.waves.push(wave(&busy, 1));
     let first = world.run_until_ordered();
     world.machine_order_delay = Duration::ZERO;
-    world.takes_machine_orders = false;
+    world.accepts_machine_orders = false;
     world.run_for(Duration::from_millis(800));
-    world.fleet.machine_order_ended(world.now, &first, MachineOrderEnd::Unanswered);
+    world.fleet.machine_order_ended(world.now, &first, MachineOrderOutcome::Unanswered);
     world.run_for(Duration::from_millis(300));
-    world.takes_machine_orders = true;
+    world.accepts_machine_orders = true;
     world.run_for(Duration::from_millis(1000));
     let of_others = world.machine_orders.iter().filter(|(_, order)| order.machine != first.machine);
     assert_eq!(of_others.count(), 0, "one may be away already");
@@ -220,7 +220,7 @@
     assert!(runs_on(&world, due, "timed"));
     world.waves.push(wave(&[due], 20));
     world.run_for(Duration::from_millis(500));
-    world.hides_machines = true;
+    world.machine_list_unavailable = true;
     world.crash(other, None);
     world.run_for(Duration::from_millis(5_000));
     assert!(runs_on(&world, due, "full"), "another of its step is away");
@@ -261,7 +261,7 @@
     let lost = world.machine_of_task("first");
     let kept = world.machine_of_task("second");
     let free = world.machines.keys().find(|one| **one != lost && **one != kept).cloned();
-    world.takes_machine_orders = false;
+    world.accepts_machine_orders = false;
     world.waves.push(wave(&[&free.expect("three machines")], 30));
     world.run_for(Duration::from_secs(1));
     world.crash(&lost, None);
--- a/crates/jackdawpier_fleet/tests/suited_executors.rs
+++ b/crates/jackdawpier_fleet/tests/suited_executors.rs
@@ -12,7 +12,7 @@
 use world::{World, job, step};
 
 fn far_runs(world: &World) -> usize {
-    world.executors.values().map(world::executor::FakeExecutor::far_runs).sum()
+    world.executors.values().map(world::executor::FakeExecutor::remote_runs).sum()
 }
 
 #[test]
--- a/crates/jackdawpier_fleet/tests/world/accounts.rs
+++ b/crates/jackdawpier_fleet/tests/world/accounts.rs
@@ -53,7 +53,7 @@
     }
 
     /// Jobs that are handed in from now on under this id are the account's.
-    pub fn give(&mut self, job: &str, account: &str) {
+    pub fn assign_job(&mut self, job: &str, account: &str) {
         self.of_job.insert(job.into(), account.into());
     }
 
--- a/crates/jackdawpier_fleet/tests/world/executor.rs
+++ b/crates/jackdawpier_fleet/tests/world/executor.rs
@@ -12,7 +12,7 @@
 const LISTED_FOR: Duration = Duration::from_millis(4500);
 /// A room that has shrunk has to be known this long after: the time in which things settle, and a
 /// heartbeat.
-const KNOWN_ROOM: Duration = Duration::from_millis(4500);
+const ROOM_SETTLE_TIME: Duration = Duration::from_millis(4500);
 /// A long-running task is at work this long after its start.
 const STARTUP: Duration = Duration::from_millis(700);
 
@@ -22,7 +22,7 @@
     need: Resources,
     started_at: Duration,
     ends_at: Option<Duration>,
-    is_far: bool,
+    is_remote: bool,
     stops_at: Option<Duration>,
 }
 
@@ -32,11 +32,11 @@
     pub hold_due: Duration,
     fence: u64,
     running: BTreeMap<TaskKey, Run>,
-    over: BTreeMap<TaskKey, u32>,
+    finished_runs: BTreeMap<TaskKey, u32>,
     ended: Vec<EndedTask>,
     ended_at: BTreeMap<u64, Duration>,
     /// Ends up to this position have been told to an owner.
-    told: u64,
+    last_reported_end: u64,
     lapsed_at: Option<Duration>,
     /// Good ends that were acknowledged, with their times.
     pub acknowledged_done: Vec<(TaskKey, Duration)>,
@@ -44,7 +44,7 @@
     pub starts: Vec<(TaskKey, Duration)>,
     next_end: u64,
     /// Ends up to this position are forgotten, also those to come.
-    forgotten: u64,
+    acknowledged_to: u64,
     lease_until: Duration,
     started_at: Duration,
     now: Duration,
@@ -58,7 +58,7 @@
     /// Each run ends in failure.
     pub fails_all: bool,
     /// It takes whatever it is told to start; then nobody may tell it too much.
-    pub is_unguarded: bool,
+    pub accepts_overload: bool,
     /// The room that it had before it shrank, and until when that may be relied on.
     former_room: Option<(Resources, Duration)>,
 }
@@ -70,15 +70,15 @@
             hold_due: Duration::ZERO,
             fence: 0,
             running: BTreeMap::new(),
-            over: BTreeMap::new(),
+            finished_runs: BTreeMap::new(),
             ended: Vec::new(),
             ended_at: BTreeMap::new(),
-            told: 0,
+            last_reported_end: 0,
             lapsed_at: None,
             acknowledged_done: Vec::new(),
             starts: Vec::new(),
             next_end: 1,
-            forgotten: 0,
+            acknowledged_to: 0,
             lease_until: Duration::ZERO,
             started_at: now,
             now,
@@ -88,7 +88,7 @@
             tail_ms: 0,
             paces: BTreeMap::new(),
             fails_all: false,
-            is_unguarded: false,
+            accepts_overload: false,
             former_room: None,
         }
     }
@@ -116,7 +116,7 @@
         self.running.clear();
     }
 
-    pub fn cut(&mut self, is_cut: bool) {
+    pub fn set_cut(&mut self, is_cut: bool) {
         self.is_cut = is_cut;
         self.cut_at = self.now;
     }
@@ -130,11 +130,12 @@
     }
 
     /// What a crash takes along: what runs, and ends of this moment, of which nobody has heard.
-    pub fn at_stake(&self) -> impl Iterator<Item = &TaskKey> {
-        let is_unheard =
-            |end: &&EndedTask| self.ended_at[&end.sequence] == self.now && end.sequence > self.told;
-        let unheard = self.ended.iter().filter(is_unheard).map(|end| &end.task);
-        self.running().chain(unheard)
+    pub fn lost_in_crash(&self) -> impl Iterator<Item = &TaskKey> {
+        let is_unreported = |end: &&EndedTask| {
+            self.ended_at[&end.sequence] == self.now && end.sequence > self.last_reported_end
+        };
+        let unreported = self.ended.iter().filter(is_unreported).map(|end| &end.task);
+        self.running().chain(unreported)
     }
 
     /// Whether a task has been running for at least this long.
@@ -149,12 +150,12 @@
     }
 
     /// Tasks at work that haven't been told to stop.
-    pub fn settled(&self) -> impl Iterator<Item = &TaskKey> {
+    pub fn at_work_not_stopping(&self) -> impl Iterator<Item = &TaskKey> {
         self.at_work().filter(|task| self.running[*task].stops_at.is_none())
     }
 
-    pub fn far_runs(&self) -> usize {
-        self.running.values().filter(|run| run.is_far).count()
+    pub fn remote_runs(&self) -> usize {
+        self.running.values().filter(|run| run.is_remote).count()
     }
 
     fn used(&self) -> Resources {
@@ -170,7 +171,7 @@
 
     /// Its room changes while it runs, and its entry says so at the next heartbeat.
     pub fn resize(&mut self, capacity: Resources) {
-        self.former_room = Some((self.info.capacity, self.now + KNOWN_ROOM));
+        self.former_room = Some((self.info.capacity, self.now + ROOM_SETTLE_TIME));
         self.info.capacity = capacity;
     }
 
@@ -184,7 +185,7 @@
             .running
             .iter()
             .filter_map(|(task, run)| {
-                let how = if run.ends_at.is_some_and(|at| at <= now) {
+                let kind = if run.ends_at.is_some_and(|at| at <= now) {
                     if self.fails_all { EndKind::Failed } else { EndKind::Done }
                 } else if run.stops_at.is_some_and(|at| at <= now) {
                     EndKind::Stopped
@@ -193,25 +194,25 @@
                 } else {
                     return None;
                 };
-                Some((task.clone(), how))
+                Some((task.clone(), kind))
             })
             .collect();
-        for (task, how) in ending {
+        for (task, kind) in ending {
             let run = self.running.remove(&task).expect("it was listed above").number;
-            self.over.insert(task.clone(), run);
+            self.finished_runs.insert(task.clone(), run);
             let sequence = self.next_end;
             self.next_end += 1;
             self.ended_at.insert(sequence, now);
-            if how == EndKind::Lapsed {
+            if kind == EndKind::Lapsed {
                 self.lapsed_at = Some(now);
             }
-            if sequence <= self.forgotten {
-                if how == EndKind::Done {
+            if sequence <= self.acknowledged_to {
+                if kind == EndKind::Done {
                     self.acknowledged_done.push((task, now));
                 }
                 continue;
             }
-            self.ended.push(EndedTask { sequence, task, run, how, checkpoint: "".into() });
+            self.ended.push(EndedTask { sequence, task, run, kind, checkpoint: "".into() });
         }
     }
 
@@ -231,7 +232,7 @@
         if self.running.get(task).is_some_and(|one| one.number == run) {
             return StartOutcome::Started;
         }
-        if self.over.get(task).is_some_and(|over| *over >= run) {
+        if self.finished_runs.get(task).is_some_and(|over| *over >= run) {
             return StartOutcome::RunIsOver;
         }
         self.lease_until = self.lease_until.max(lease.min(self.clock(now) + super::LONGEST_LEASE));
@@ -239,21 +240,21 @@
             return StartOutcome::TooLate;
         }
         let step = &spec.steps[task.step as usize];
-        let need = step.booked();
+        let need = step.allocated();
         let fits = need.fits(&self.info.capacity.minus(&self.used()));
-        if !fits && !self.is_unguarded {
+        if !fits && !self.accepts_overload {
             return StartOutcome::NoRoom;
         }
         let former = self.former_room.filter(|(_, until)| now < *until);
         let may_fit = former.is_some_and(|(room, _)| need.fits(&room.minus(&self.used())));
         assert!(fits || may_fit, "{task} brings {} over its room", self.info.id);
-        let is_far = step.data_rack.is_some() && step.data_rack != self.info.rack;
-        let takes = if is_far { step.estimate * 3 } else { step.estimate };
+        let is_remote = step.data_rack.is_some() && step.data_rack != self.info.rack;
+        let takes = if is_remote { step.estimate * 3 } else { step.estimate };
         let has_label =
             step.required_label.as_ref().is_none_or(|label| self.info.labels.contains(label));
         assert!(has_label, "{task} needs a label that {} lacks", self.info.id);
         let ends_at = (!step.is_long_running).then(|| now + takes);
-        let run = Run { number: run, need, started_at: now, ends_at, is_far, stops_at: None };
+        let run = Run { number: run, need, started_at: now, ends_at, is_remote, stops_at: None };
         self.running.insert(task.clone(), run);
         self.starts.push((task.clone(), now));
         StartOutcome::Started
@@ -269,15 +270,15 @@
                 one.stops_at = Some(now + Duration::from_millis(150));
             }
             _ => {
-                let over = self.over.entry(task.clone()).or_default();
-                *over = (*over).max(run);
+                let finished_runs = self.finished_runs.entry(task.clone()).or_default();
+                *finished_runs = (*finished_runs).max(run);
             }
         }
         StopOutcome::Taken
     }
 
-    pub fn pace(&mut self, task: &TaskKey, percent: u32) {
-        self.paces.insert(task.clone(), percent);
+    pub fn pace(&mut self, task: &TaskKey, speed_percent: u32) {
+        self.paces.insert(task.clone(), speed_percent);
     }
 
     pub fn pace_of(&self, task: &TaskKey) -> u32 {
@@ -293,26 +294,26 @@
             let ended_at = self.ended_at[&end.sequence];
             // A lease that lapsed in between takes the end's meaning away.
             let has_lapsed = self.lapsed_at.is_some_and(|at| at > ended_at);
-            if end.how == EndKind::Done && !has_lapsed {
+            if end.kind == EndKind::Done && !has_lapsed {
                 self.acknowledged_done.push((end.task.clone(), ended_at));
             }
         }
-        self.forgotten = self.forgotten.max(order.acknowledged);
+        self.acknowledged_to = self.acknowledged_to.max(order.acknowledged);
         self.ended.retain(|end| end.sequence > order.acknowledged);
         if let Some(until) = order.lease_until {
             let longest = self.clock(now) + super::LONGEST_LEASE;
             self.lease_until = self.lease_until.max(until.min(longest));
         }
-        self.told = self.told.max(self.next_end - 1);
+        self.last_reported_end = self.last_reported_end.max(self.next_end - 1);
         let running = self.running.iter().map(|(task, run)| RunningTask {
             task: task.clone(),
             run: run.number,
             checkpoint: "".into(),
-            percent: if now >= run.started_at + STARTUP { self.pace_of(task) } else { 0 },
+            speed_percent: if now >= run.started_at + STARTUP { self.pace_of(task) } else { 0 },
             gauge: self.tail_ms,
         });
         Some(HoldReport {
-            life: self.info.life,
+            incarnation: self.info.incarnation,
             clock: self.clock(now),
             running: running.collect(),
             ended: self.ended.clone(),
--- a/crates/jackdawpier_fleet/tests/world/lasting.rs
+++ b/crates/jackdawpier_fleet/tests/world/lasting.rs
@@ -31,7 +31,7 @@
 impl World {
     pub(super) fn note_lasting(&mut self) {
         let at_work = self.executors.values().filter(|one| one.is_alive());
-        for task in at_work.flat_map(FakeExecutor::settled) {
+        for task in at_work.flat_map(FakeExecutor::at_work_not_stopping) {
             if !self.submissions[&task.job].spec.steps[task.step as usize].is_long_running {
                 continue;
             }
@@ -47,7 +47,7 @@
         let step = self.submissions[&task.job].spec.steps[task.step as usize].clone();
         let is_bounded = step.is_long_running && step.may_miss > 0;
         let is_cancelled = self.cancelled.contains(&task.job);
-        let runs_there = self.executors[executor].settled().any(|one| one == task);
+        let runs_there = self.executors[executor].at_work_not_stopping().any(|one| one == task);
         if !is_bounded || is_cancelled || !runs_there {
             return;
         }
@@ -64,7 +64,8 @@
 
     /// The same for all that runs on an executor.
     pub(super) fn check_all_spared(&mut self, executor: &Arc<str>) {
-        let tasks: Vec<TaskKey> = self.executors[executor].settled().cloned().collect();
+        let tasks: Vec<TaskKey> =
+            self.executors[executor].at_work_not_stopping().cloned().collect();
         tasks.iter().for_each(|task| self.check_spared(executor, task));
     }
 
--- a/crates/jackdawpier_fleet/tests/world/machines.rs
+++ b/crates/jackdawpier_fleet/tests/world/machines.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use jackdawpier_fleet::machines::{MachineOrder, MachineOrderEnd, MachineState, MachineWork};
+use jackdawpier_fleet::machines::{MachineOrder, MachineOrderOutcome, MachineState, MachineWork};
 
 use super::{MAINTENANCE, MIGRATION, Machine, ORDER_LEASE, STEP, World};
 
@@ -27,7 +27,7 @@
     /// Runs until an order about a machine is under way, and returns it.
     pub fn run_until_ordered(&mut self) -> MachineOrder {
         loop {
-            if let Some((.., order)) = self.machine_orders_under_way.first() {
+            if let Some((.., order)) = self.machine_orders_in_flight.first() {
                 return order.clone();
             }
             self.run_for(STEP);
@@ -46,13 +46,13 @@
         for (id, former) in due {
             let rack = self.executors[&former].info.rack.clone().unwrap_or_default();
             let pool = self.machines[&id].pool.clone();
-            let keeps_id = self.keeps_ids && self.machines[&id].away_for.is_none();
+            let keeps_id = self.restarts_keep_ids && self.machines[&id].away_for.is_none();
             self.executors.remove(&former);
             let executor = (!self.is_standby(&pool)).then(|| {
                 if keeps_id {
-                    return self.begin_life(former, &pool, &rack, &id);
+                    return self.begin_incarnation(former, &pool, &rack, &id);
                 }
-                self.new_life(&pool, &rack, &id)
+                self.new_incarnation(&pool, &rack, &id)
             });
             let machine = self.machines.get_mut(&id).expect("it was listed above");
             machine.executor = executor;
@@ -61,15 +61,15 @@
         }
     }
 
-    pub(super) fn order_machines(&mut self) {
+    pub(super) fn deliver_machine_orders(&mut self) {
         let now = self.now;
-        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.machine_orders_under_way)
+        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.machine_orders_in_flight)
             .into_iter()
             .partition(|(at, ..)| *at <= now);
-        self.machine_orders_under_way = rest;
+        self.machine_orders_in_flight = rest;
         for (_, fence, order) in due {
             self.check_holder(&order.machine, fence);
-            let end = self.order_machine(&order);
+            let end = self.apply_machine_order(&order);
             if fence == self.fence {
                 self.fleet.machine_order_ended(now, &order, end);
             }
@@ -80,30 +80,33 @@
     /// later one's.
     fn check_holder(&mut self, machine: &Arc<str>, fence: u64) {
         let now = self.now;
-        let Some((at, last)) = self.ordered.insert(machine.clone(), (now, fence)) else { return };
+        let Some((at, last)) = self.last_machine_orders.insert(machine.clone(), (now, fence))
+        else {
+            return;
+        };
         assert!(fence >= last, "{machine} ordered under {fence} after {last}");
         assert!(fence == last || now >= at + ORDER_LEASE, "{machine} ordered by two owners");
     }
 
-    pub(super) fn order_machine(&mut self, order: &MachineOrder) -> MachineOrderEnd {
-        if !self.takes_machine_orders {
-            return MachineOrderEnd::NotTaken;
+    pub(super) fn apply_machine_order(&mut self, order: &MachineOrder) -> MachineOrderOutcome {
+        if !self.accepts_machine_orders {
+            return MachineOrderOutcome::NotTaken;
         }
         self.machine_orders.push((self.now, order.clone()));
         if self.refuses_moves && matches!(order.work, MachineWork::Move(_)) {
-            return MachineOrderEnd::Refused;
+            return MachineOrderOutcome::Refused;
         }
         let now = self.now;
         let Some(machine) = self.machines.get_mut(&order.machine) else {
-            return MachineOrderEnd::Refused;
+            return MachineOrderOutcome::Refused;
         };
         if let MachineWork::Maintain(wave) = &order.work
             && machine.maintained_for.contains(wave)
         {
-            return MachineOrderEnd::Taken;
+            return MachineOrderOutcome::Taken;
         }
         if machine.back_at.is_some() {
-            return MachineOrderEnd::Busy;
+            return MachineOrderOutcome::Busy;
         }
         if let Some(executor) = machine.executor.clone() {
             self.check_all_spared(&executor);
@@ -124,14 +127,14 @@
         if let Some(executor) = machine.executor.clone() {
             machine.back_at = Some((now + takes, executor.clone()));
             self.executors.get_mut(&executor).expect("it lives").crash();
-            return MachineOrderEnd::Taken;
+            return MachineOrderOutcome::Taken;
         }
         machine.away_for = None;
         let pool = machine.pool.clone();
         if !self.is_standby(&pool) {
-            let id = self.new_life(&pool, "rack-x", &order.machine);
+            let id = self.new_incarnation(&pool, "rack-x", &order.machine);
             self.machines.get_mut(&order.machine).expect("read above").executor = Some(id);
         }
-        MachineOrderEnd::Taken
+        MachineOrderOutcome::Taken
     }
 }
--- a/crates/jackdawpier_fleet/tests/world/mod.rs
+++ b/crates/jackdawpier_fleet/tests/world/mod.rs
@@ -107,44 +107,44 @@
     writes: Vec<(Duration, Batch)>,
     /// Decides what becomes of an order, by its number.
     pub delivery: Box<dyn FnMut(u64) -> Delivery>,
-    orders: u64,
-    late: Vec<(Duration, orders::Sent)>,
+    order_count: u64,
+    late_orders: Vec<(Duration, orders::SentOrder)>,
     pub queues: Vec<Queue>,
     pub services: Vec<Service>,
     /// Client accounts, and whose jobs are whose.
     pub accounts: Accounts,
     pub machine_orders: Vec<(Duration, MachineOrder)>,
     /// Machines with the time and the owner of the last order that left, which an owner notes.
-    noted: BTreeMap<Arc<str>, (Duration, u64)>,
+    noted_orders: BTreeMap<Arc<str>, (Duration, u64)>,
     /// The note can't be read by the next owner.
-    pub loses_note: bool,
+    pub order_note_lost: bool,
     pub commands: Vec<(Duration, Command)>,
-    lives: u64,
+    incarnations: u64,
     started: BTreeMap<TaskKey, Vec<Duration>>,
     done: BTreeMap<TaskKey, Duration>,
     /// Whether the machines' interface takes orders.
-    pub takes_machine_orders: bool,
+    pub accepts_machine_orders: bool,
     pub waves: Vec<Wave>,
     /// Whether the list of machines can't be had.
-    pub hides_machines: bool,
+    pub machine_list_unavailable: bool,
     /// An executor whose entry in the registry can't be read.
-    pub unreadable: Option<Arc<str>>,
+    pub unreadable_executor: Option<Arc<str>>,
     /// An executor of which the owner gets no answers.
-    pub deaf_to: Option<Arc<str>>,
+    pub drops_answers_of: Option<Arc<str>>,
     /// Whether no pool takes a machine of another.
     pub refuses_moves: bool,
     /// Time that an order about a machine takes to arrive.
     pub machine_order_delay: Duration,
-    machine_orders_under_way: Vec<(Duration, u64, MachineOrder)>,
+    machine_orders_in_flight: Vec<(Duration, u64, MachineOrder)>,
     /// When each machine was last ordered, and under which fence.
-    ordered: BTreeMap<Arc<str>, (Duration, u64)>,
+    last_machine_orders: BTreeMap<Arc<str>, (Duration, u64)>,
     /// Executors that the advisor approves of, and how often it was asked.
     pub approved: Vec<Arc<str>>,
-    pub advised: usize,
+    pub advice_requests: usize,
     /// Labels of machines beside the common one.
     pub labels: BTreeMap<Arc<str>, Arc<str>>,
     /// An executor that comes back after a crash has the id that it had.
-    pub keeps_ids: bool,
+    pub restarts_keep_ids: bool,
     /// Tasks that crash their executors, and what has crashed under whom.
     pub crashes: Crashes,
     /// What has been at work of work that lasts.
@@ -167,8 +167,8 @@
             write_delay: Duration::from_millis(10),
             writes: Vec::new(),
             delivery: Box::new(|_| Delivery::Answered),
-            orders: 0,
-            late: Vec::new(),
+            order_count: 0,
+            late_orders: Vec::new(),
             queues: pools.iter().map(|pool| queue(&format!("q-{pool}"), pool)).collect(),
             services: pools
                 .iter()
@@ -176,25 +176,25 @@
                 .collect(),
             accounts: Accounts::default(),
             machine_orders: Vec::new(),
-            noted: BTreeMap::new(),
-            loses_note: false,
+            noted_orders: BTreeMap::new(),
+            order_note_lost: false,
             commands: Vec::new(),
-            lives: 0,
+            incarnations: 0,
             started: BTreeMap::new(),
             done: BTreeMap::new(),
-            takes_machine_orders: true,
+            accepts_machine_orders: true,
             waves: Vec::new(),
-            hides_machines: false,
-            unreadable: None,
-            deaf_to: None,
+            machine_list_unavailable: false,
+            unreadable_executor: None,
+            drops_answers_of: None,
             refuses_moves: false,
             machine_order_delay: Duration::ZERO,
-            machine_orders_under_way: Vec::new(),
-            ordered: BTreeMap::new(),
+            machine_orders_in_flight: Vec::new(),
+            last_machine_orders: BTreeMap::new(),
             approved: Vec::new(),
-            advised: 0,
+            advice_requests: 0,
             labels: BTreeMap::new(),
-            keeps_ids: false,
+            restarts_keep_ids: false,
             crashes: Crashes::default(),
             lasting: Lasting::default(),
         };
@@ -220,7 +220,7 @@
     }
 
     pub fn add_machine(&mut self, machine: &Arc<str>, pool: &str, rack: &str) {
-        let executor = (!self.is_standby(pool)).then(|| self.new_life(pool, rack, machine));
+        let executor = (!self.is_standby(pool)).then(|| self.new_incarnation(pool, rack, machine));
         self.machines.insert(
             machine.clone(),
             Machine {
@@ -233,16 +233,22 @@
         );
     }
 
-    fn new_life(&mut self, pool: &str, rack: &str, machine: &str) -> Arc<str> {
-        let id: Arc<str> = format!("i-{}", self.lives + 1).into();
-        self.begin_life(id, pool, rack, machine)
+    fn new_incarnation(&mut self, pool: &str, rack: &str, machine: &str) -> Arc<str> {
+        let id: Arc<str> = format!("i-{}", self.incarnations + 1).into();
+        self.begin_incarnation(id, pool, rack, machine)
     }
 
-    fn begin_life(&mut self, id: Arc<str>, pool: &str, rack: &str, machine: &str) -> Arc<str> {
-        self.lives += 1;
+    fn begin_incarnation(
+        &mut self,
+        id: Arc<str>,
+        pool: &str,
+        rack: &str,
+        machine: &str,
+    ) -> Arc<str> {
+        self.incarnations += 1;
         let info = ExecutorInfo {
             id: id.clone(),
-            life: Some(1_000 - self.lives),
+            incarnation: Some(1_000 - self.incarnations),
             service: pool.into(),
             address: format!("{machine}:1").into(),
             zone: "z".into(),
@@ -270,20 +276,20 @@
         let now = self.now;
         let id = self.executor_of(machine);
         let executor = self.executors.get_mut(&id).expect("it lives");
-        self.crashes.note(now, executor.at_stake());
+        self.crashes.note(now, executor.lost_in_crash());
         executor.crash();
         let back = back_after.map(|after| (now + after, id));
         self.machines.get_mut(machine).expect("it was read above").back_at = back;
     }
 
     pub fn submit(&mut self, id: &str, queue: &str, spec: JobSpec) {
-        self.accept(id, queue, spec);
+        self.store_job(id, queue, spec);
         let submission = self.submissions[id].clone();
         self.fleet.add_job(self.now, self.now, self.wall_ms(), id.into(), submission);
     }
 
     /// Stores a job of which the owner doesn't hear.
-    pub fn accept(&mut self, id: &str, queue: &str, spec: JobSpec) {
+    pub fn store_job(&mut self, id: &str, queue: &str, spec: JobSpec) {
         let settings = self.queues.iter().find(|one| &*one.name == queue).cloned();
         let account = self.accounts.of_job(id);
         let accepted_ms = self.wall_ms();
@@ -328,15 +334,15 @@
         for id in &self.cancelled {
             self.fleet.cancel(self.now, id);
         }
-        if !self.loses_note {
+        if !self.order_note_lost {
             // Ages are those of the last note, not of now.
-            let last = self.noted.values().map(|(at, _)| *at).max().unwrap_or_default();
-            let noted = self
-                .noted
+            let last = self.noted_orders.values().map(|(at, _)| *at).max().unwrap_or_default();
+            let noted_orders = self
+                .noted_orders
                 .iter()
                 .map(|(machine, (at, _))| (machine.clone(), last.saturating_sub(*at)));
-            let noted = noted.filter(|(_, age)| *age < NOTED_FOR).collect();
-            self.fleet.recover_orders(self.now, noted);
+            let noted_orders = noted_orders.filter(|(_, age)| *age < NOTED_FOR).collect();
+            self.fleet.recover_orders(self.now, noted_orders);
         }
         self.executors.values_mut().for_each(|executor| executor.hold_due = Duration::ZERO);
     }
@@ -378,23 +384,23 @@
         self.return_machines();
         let is_listing = now.as_millis().is_multiple_of(200);
         if is_listing {
-            self.list();
+            self.publish_listings();
         }
-        self.carry_out_late();
-        self.order_machines();
-        self.hold_all();
+        self.execute_late_orders();
+        self.deliver_machine_orders();
+        self.send_holds();
         self.finish_writes();
         self.fleet.tick(now, self.wall_ms());
-        self.carry_out();
+        self.execute_commands();
         while let Some(batch) = self.fleet.take_batch(30) {
             self.writes.push((now + self.write_delay, batch));
         }
         self.check();
     }
 
-    fn list(&mut self) {
+    fn publish_listings(&mut self) {
         let now = self.now;
-        let is_readable = |id: &Arc<str>| self.unreadable.as_ref() != Some(id);
+        let is_readable = |id: &Arc<str>| self.unreadable_executor.as_ref() != Some(id);
         let listed = self
             .executors
             .values()
@@ -408,22 +414,22 @@
             labels: self.labels.get(id).into_iter().cloned().chain(["a".into()]).collect(),
         });
         let machines = machines.collect();
-        if !self.hides_machines {
+        if !self.machine_list_unavailable {
             self.fleet.update_machines(now, now.saturating_sub(STEP), machines);
         }
         let waves = self.waves.iter().map(|wave| (wave.clone(), Duration::ZERO)).collect();
         self.fleet.set_waves(now, waves, true);
     }
 
-    fn hold_all(&mut self) {
+    fn send_holds(&mut self) {
         let now = self.now;
         let ids: Vec<Arc<str>> = self.executors.keys().cloned().collect();
         for id in ids {
             let executor = self.executors.get_mut(&id).expect("it was listed above");
             let has_ends = executor.has_ends();
-            let is_deaf = self.deaf_to.as_ref() == Some(&id);
+            let drops_answers = self.drops_answers_of.as_ref() == Some(&id);
             let is_due = now >= executor.hold_due || has_ends;
-            if !executor.is_reachable() || is_deaf || !is_due {
+            if !executor.is_reachable() || drops_answers || !is_due {
                 if is_due {
                     self.fleet.hold_failed(now, &id);
                 }
@@ -435,7 +441,7 @@
             executor.hold_due = now + HOLD_WAIT;
             self.fleet.hold_answered(now, asked_at, &id, &report);
             for stop in self.fleet.repeat_stops(now, &id) {
-                self.order(stop);
+                self.send_order(stop);
             }
         }
     }
@@ -455,7 +461,7 @@
         }
     }
 
-    fn carry_out(&mut self) {
+    fn execute_commands(&mut self) {
         let task_crashes = self.fleet.take_task_crashes();
         let pauses = self.fleet.take_crash_backoffs();
         if std::env::var("TRACE").is_ok() {
@@ -476,7 +482,7 @@
                 println!("{:?} fence {}: {command:?}", self.now, self.fence);
             }
             self.commands.push((self.now, command.clone()));
-            self.order(command);
+            self.send_order(command);
         }
     }
 
--- a/crates/jackdawpier_fleet/tests/world/orders.rs
+++ b/crates/jackdawpier_fleet/tests/world/orders.rs
@@ -17,14 +17,14 @@
 }
 
 impl World {
-    pub(super) fn order(&mut self, command: Command) {
+    pub(super) fn send_order(&mut self, command: Command) {
         match &command {
             Command::Machine(order) => {
                 let at = self.now + self.machine_order_delay;
-                self.noted.insert(order.machine.clone(), (self.now, self.fence));
-                self.machine_orders_under_way.push((at, self.fence, order.clone()));
+                self.noted_orders.insert(order.machine.clone(), (self.now, self.fence));
+                self.machine_orders_in_flight.push((at, self.fence, order.clone()));
                 if self.machine_order_delay.is_zero() {
-                    self.order_machines();
+                    self.deliver_machine_orders();
                 }
                 return;
             }
@@ -35,36 +35,36 @@
                     .filter(|id| self.approved.contains(*id))
                     .map(|id| (id.clone(), format!("ticket-{id}").into()))
                     .collect();
-                self.advised += 1;
+                self.advice_requests += 1;
                 self.fleet.advice_received(self.now, task, approved, Duration::from_secs(3));
                 return;
             }
             Command::Start { .. } | Command::Stop { .. } | Command::Pace { .. } => {}
         }
-        self.orders += 1;
+        self.order_count += 1;
         let lease = match &command {
             Command::Start { executor, .. } => self.fleet.order_lease(self.now, executor),
             _ => None,
         };
-        let mut sent = Sent { fence: self.fence, lease, life: None, command };
-        sent.life = sent.target().and_then(|id| self.executors.get(id)?.info.life);
-        match (self.delivery)(self.orders) {
+        let mut sent = SentOrder { fence: self.fence, lease, incarnation: None, command };
+        sent.incarnation = sent.target().and_then(|id| self.executors.get(id)?.info.incarnation);
+        match (self.delivery)(self.order_count) {
             Delivery::Answered => self.deliver(&sent, true),
             Delivery::AnswerLost => self.deliver(&sent, false),
             Delivery::Late(after) => {
                 self.report_unanswered(&sent.command);
-                self.late.push((self.now + after, sent));
+                self.late_orders.push((self.now + after, sent));
             }
         }
     }
 
-    pub(super) fn carry_out_late(&mut self) {
+    pub(super) fn execute_late_orders(&mut self) {
         let now = self.now;
         let (due, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.late).into_iter().partition(|(at, _)| *at <= now);
-        self.late = rest;
+            std::mem::take(&mut self.late_orders).into_iter().partition(|(at, _)| *at <= now);
+        self.late_orders = rest;
         for (_, sent) in due {
-            let is_there = |one: &FakeExecutor| one.info.life == sent.life;
+            let is_there = |one: &FakeExecutor| one.info.incarnation == sent.incarnation;
             if sent.target().is_some_and(|id| !self.executors.get(id).is_some_and(is_there)) {
                 continue;
             }
@@ -75,7 +75,7 @@
         }
     }
 
-    fn deliver(&mut self, sent: &Sent, is_answered: bool) {
+    fn deliver(&mut self, sent: &SentOrder, is_answered: bool) {
         if let Command::Stop { executor, task, .. } = &sent.command
             && self.executors.get(executor).is_some_and(FakeExecutor::is_reachable)
         {
@@ -83,12 +83,12 @@
         }
         let end = self.execute(sent);
         match (&sent.command, end) {
-            (Command::Start { executor, task, run, .. }, Some(Executed::Start(end)))
+            (Command::Start { executor, task, run, .. }, Some(OrderResult::Start(end)))
                 if is_answered =>
             {
                 self.fleet.start_ended(self.now, executor, task, *run, end, true);
             }
-            (Command::Stop { task, run, .. }, Some(Executed::Stop(end))) if is_answered => {
+            (Command::Stop { task, run, .. }, Some(OrderResult::Stop(end))) if is_answered => {
                 self.fleet.stop_ended(self.now, task, *run, end);
             }
             _ => self.report_unanswered(&sent.command),
@@ -108,7 +108,7 @@
         }
     }
 
-    fn execute(&mut self, sent: &Sent) -> Option<Executed> {
+    fn execute(&mut self, sent: &SentOrder) -> Option<OrderResult> {
         let (now, fence) = (self.now, sent.fence);
         match &sent.command {
             Command::Start { executor, task, run, .. } => {
@@ -118,14 +118,14 @@
                 if !target.is_reachable() {
                     return None;
                 }
-                Some(Executed::Start(target.start(now, fence, task, *run, &spec, lease)))
+                Some(OrderResult::Start(target.start(now, fence, task, *run, &spec, lease)))
             }
             Command::Stop { executor, task, run, .. } => {
                 let target = self.executors.get_mut(executor)?;
                 if !target.is_reachable() {
                     return None;
                 }
-                Some(Executed::Stop(target.stop(now, fence, task, *run)))
+                Some(OrderResult::Stop(target.stop(now, fence, task, *run)))
             }
             Command::Pace { executor, task, percent, .. } => {
                 self.executors.get_mut(executor)?.pace(task, *percent);
@@ -137,15 +137,15 @@
 }
 
 /// An order on its way.
-pub(super) struct Sent {
+pub(super) struct SentOrder {
     fence: u64,
     /// The life that it reaches: an executor that starts again holds nothing of before.
-    life: Option<u64>,
+    incarnation: Option<u64>,
     lease: Option<Duration>,
     command: Command,
 }
 
-impl Sent {
+impl SentOrder {
     fn target(&self) -> Option<&Arc<str>> {
         match &self.command {
             Command::Start { executor, .. } | Command::Stop { executor, .. } => Some(executor),
@@ -154,7 +154,7 @@
     }
 }
 
-enum Executed {
+enum OrderResult {
     Start(StartOutcome),
     Stop(StopOutcome),
 }
