--- a/crates/jackdawpier_route/src/dedupe.rs
+++ b/crates/jackdawpier_route/src/dedupe.rs
@@ -1,9 +1,9 @@
-//! Keyed requests run at most once, over all entries and over the replacement of any entry.
+//! At-most-once execution of keyed requests, across all entries and changes of ownership.
 //!
-//! The intent is durable before the first byte leaves. An intent that a new owner finds without
-//! an end is never sent again by anyone; a repeat of it makes the owner ask the entry that wrote
-//! the intent, and is told "unknown" only if that entry can't say. See
-//! `docs/design/at-most-once.md`.
+//! An intent is durable before the first byte of its request is sent. An intent that a new owner
+//! finds in the log without an outcome is never sent again. If such a request is repeated, the
+//! owner queries the entry that wrote the intent, and answers "unknown" only if that entry doesn't
+//! know the outcome. See `docs/design/at-most-once.md`.
 
 use std::{
     collections::{BTreeSet, HashMap, VecDeque},
@@ -20,76 +20,77 @@
 
 use crate::lost_shard::LostShardKeys;
 
-/// Largest answer body that is kept for a repeat, in bytes.
+/// Maximum size of an answer body that is retained for repeated requests.
 pub const MAX_RETAINED_BODY_BYTES: usize = 16 * 1024;
 
-/// Hash of a request's method, path and body: a key must not be used for two requests.
+/// Hash of a request's method, path and body; detects the use of one key for different requests.
 pub type Fingerprint = u64;
 
 /// Durable state of one key.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "state")]
 pub enum KeyState {
-    /// The request may be sent once by the entry that wrote this.
+    /// The request may be sent once, by the entry that wrote this state.
     Intent {
         /// Hash of the request.
         fingerprint: Fingerprint,
-        /// The entry that wrote this, which alone can know how the request ended.
+        /// The entry that wrote this state; no other entry can know the outcome.
         entry: EntryId,
     },
-    /// The request has ended with this outcome.
+    /// The request has ended.
     Ended {
         /// Hash of the request.
         fingerprint: Fingerprint,
-        /// The outcome; a long body is dropped and told as such.
+        /// The outcome; a body above the size limit is replaced by a notice.
         outcome: Outcome,
     },
     /// The request provably did not run; the key may be used again.
     Released,
 }
 
-/// What to do with a keyed request.
+/// Decision on a keyed request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// Write the intent, and run the request once [`Dedupe::on_committed`] returns its ticket.
+    /// Write the intent, and send the request once [`Dedupe::on_committed`] returns its ticket.
     WriteIntent {
         /// The state to make durable.
         state: KeyState,
     },
-    /// The same request is under way: its outcome will be returned for this ticket too.
+    /// The same request is in progress; its outcome will be returned for this ticket too.
     Wait,
-    /// An earlier owner may have sent it: ask this entry, and give its word to
+    /// A previous owner may have sent the request: query this entry and pass its reply to
     /// [`Dedupe::resolve`], which returns this ticket.
     QueryWriter(EntryId),
-    /// The request has ended before: this is its outcome.
+    /// The request has already ended with this outcome.
     Replay(Outcome),
-    /// The key was used for another request.
+    /// The key belongs to a different request.
     KeyReused,
 }
 
-/// What to do once the entry that wrote an intent was asked.
+/// Result of [`Dedupe::resolve`]: what to do about an intent of a previous owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Resolution {
-    /// Make the end durable; [`CommitResult::resolved`] then returns those that wait. Told earlier, an
-    /// answer could be lost with the one process that can tell it again.
+    /// Write the outcome; once it is durable, [`CommitResult::resolved`] returns the waiting
+    /// tickets. Answering them earlier could give an outcome that is lost if its only holder
+    /// crashes.
     WriteEnd(KeyState),
-    /// It never ran: make the release durable, and let those that wait ask again.
+    /// The request never ran: write the release, and let the waiting callers retry.
     Release(Vec<Ticket>),
-    /// Nothing was learned: tell those that wait that the outcome is unknown.
+    /// The outcome wasn't found: answer these tickets that it is unknown.
     Unknown(Vec<Ticket>),
 }
 
-/// What became durable.
+/// Tickets to act on after a commit.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
 pub struct CommitResult {
-    /// Tickets whose intents are durable, so that they may be sent.
+    /// Requests whose intents are durable now, so they may be sent.
     pub sendable: Vec<Ticket>,
-    /// Ends learned from an earlier owner, each with the tickets that wait for it.
+    /// Outcomes learned from a previous owner, each with the tickets that wait for it.
     pub resolved: Vec<(Outcome, Vec<Ticket>)>,
 }
 
 #[derive(Debug)]
-enum Live {
+enum TrackedKey {
     Running {
         fingerprint: Fingerprint,
         waiters: Vec<Ticket>,
@@ -98,107 +99,107 @@
         fingerprint: Fingerprint,
         outcome: Outcome,
     },
-    /// An earlier owner's intent. It is seldom, and boxed so that the other keys stay small.
-    Doubtful {
+    /// An intent of a previous owner. It is rare, and boxed to keep the other variants small.
+    Unresolved {
         fingerprint: Fingerprint,
-        doubt: Box<Doubt>,
+        intent: Box<UnresolvedIntent>,
     },
 }
 
 #[derive(Debug)]
-struct Doubt {
+struct UnresolvedIntent {
     /// The entry that wrote the intent.
     entry: EntryId,
     waiters: Vec<Ticket>,
-    /// Its end while that is not durable here.
+    /// The outcome, learned from that entry but not durable here yet.
     learned: Option<Outcome>,
 }
 
-/// The keys of one shard.
+/// Deduplication table of one shard.
 #[derive(Debug)]
 pub struct Dedupe {
     entry: EntryId,
     retention: Duration,
-    keys: HashMap<RequestKey, Live>,
+    keys: HashMap<RequestKey, TrackedKey>,
     expiring: BTreeSet<(Now, RequestKey)>,
-    /// Intents that are not durable yet, by the number of their write.
-    uncommitted: VecDeque<(u64, Ticket, RequestKey)>,
-    /// Ends that are not durable yet, by the number of their write.
-    unwritten: VecDeque<(u64, RequestKey)>,
+    /// Intents that aren't durable yet, in the order of their writes.
+    pending_intents: VecDeque<(u64, Ticket, RequestKey)>,
+    /// Outcomes that aren't durable yet, in the order of their writes.
+    pending_ends: VecDeque<(u64, RequestKey)>,
 }
 
 impl Dedupe {
-    /// Returns the empty table of the owner `entry`, which keeps outcomes for `retention`.
+    /// Returns an empty table for the owner `entry` that keeps each outcome for `retention`.
     pub fn new(entry: EntryId, retention: Duration) -> Self {
         Self {
             entry,
             retention,
             keys: HashMap::new(),
             expiring: BTreeSet::new(),
-            uncommitted: VecDeque::new(),
-            unwritten: VecDeque::new(),
+            pending_intents: VecDeque::new(),
+            pending_ends: VecDeque::new(),
         }
     }
 
-    /// Keys that are known.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether no key is known.
+    /// Returns whether there are no keys.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
 
-    /// Takes over the durable states of an earlier owner, which may have been this entry: `former`
-    /// is what it remembers. Returns the states to make durable, where more is known than the log
-    /// says.
+    /// Recovers the durable states of a previous owner, which may have been this entry;
+    /// `lost_shard` holds what this entry kept when it lost the shard. Returns the states that the
+    /// log lacks, to be made durable.
     ///
-    /// `former` is empty afterwards, since this table knows better from now on. Without that an
-    /// entry that loses the shard again and has not noticed could call a key released that it has
-    /// sent meanwhile.
+    /// Clears `lost_shard`, since its states are out of date from now on. Otherwise an entry that
+    /// has lost the shard again without noticing could report a key as released although it has
+    /// sent the request in the meantime.
     pub fn recover(
         &mut self,
         now: Now,
         states: impl IntoIterator<Item = (RequestKey, KeyState)>,
-        former: &mut LostShardKeys,
+        lost_shard: &mut LostShardKeys,
     ) -> Vec<(RequestKey, KeyState)> {
-        let mut news = Vec::new();
+        let mut missing_states = Vec::new();
         for (key, state) in states {
             let remembered = match &state {
-                KeyState::Intent { entry, .. } if *entry == self.entry => former.get(&key),
+                KeyState::Intent { entry, .. } if *entry == self.entry => lost_shard.get(&key),
                 _ => None,
             };
             match remembered {
                 Some(KeyState::Intent { fingerprint, .. }) => {
-                    self.keys.insert(key, Live::Running { fingerprint, waiters: Vec::new() });
+                    self.keys.insert(key, TrackedKey::Running { fingerprint, waiters: Vec::new() });
                 }
                 Some(state) => {
-                    self.recover_one(now, Arc::clone(&key), state.clone());
-                    news.push((key, state));
+                    self.recover_key(now, Arc::clone(&key), state.clone());
+                    missing_states.push((key, state));
                 }
-                None => self.recover_one(now, key, state),
+                None => self.recover_key(now, key, state),
             }
         }
-        former.clear();
-        news
+        lost_shard.clear();
+        missing_states
     }
 
-    fn recover_one(&mut self, now: Now, key: RequestKey, state: KeyState) {
-        let live = match state {
+    fn recover_key(&mut self, now: Now, key: RequestKey, state: KeyState) {
+        let tracked = match state {
             KeyState::Intent { fingerprint, entry } => {
-                let doubt = Doubt { entry, waiters: Vec::new(), learned: None };
-                Live::Doubtful { fingerprint, doubt: Box::new(doubt) }
+                let intent = UnresolvedIntent { entry, waiters: Vec::new(), learned: None };
+                TrackedKey::Unresolved { fingerprint, intent: Box::new(intent) }
             }
-            KeyState::Ended { fingerprint, outcome } => Live::Ended { fingerprint, outcome },
+            KeyState::Ended { fingerprint, outcome } => TrackedKey::Ended { fingerprint, outcome },
             KeyState::Released => return,
         };
         self.expiring.insert((now + self.retention, Arc::clone(&key)));
-        self.keys.insert(key, live);
+        self.keys.insert(key, tracked);
     }
 
-    /// Decides on a request. After [`Decision::WriteIntent`] the caller says by
-    /// [`Dedupe::on_intent_write_queued`] which durable write carries the intent.
+    /// Decides on a request. After [`Decision::WriteIntent`], the caller reports by
+    /// [`Dedupe::on_intent_write_queued`] which write contains the intent.
     pub fn begin(
         &mut self,
         key: &RequestKey,
@@ -207,35 +208,37 @@
     ) -> Decision {
         match self.keys.get_mut(key) {
             None => {
-                let live = Live::Running { fingerprint, waiters: Vec::new() };
-                self.keys.insert(Arc::clone(key), live);
+                let tracked = TrackedKey::Running { fingerprint, waiters: Vec::new() };
+                self.keys.insert(Arc::clone(key), tracked);
                 let entry = self.entry.clone();
                 Decision::WriteIntent { state: KeyState::Intent { fingerprint, entry } }
             }
-            Some(Live::Running { fingerprint: known, waiters }) if *known == fingerprint => {
+            Some(TrackedKey::Running { fingerprint: known, waiters }) if *known == fingerprint => {
                 waiters.push(ticket);
                 Decision::Wait
             }
-            Some(Live::Ended { fingerprint: known, outcome }) if *known == fingerprint => {
+            Some(TrackedKey::Ended { fingerprint: known, outcome }) if *known == fingerprint => {
                 Decision::Replay(outcome.clone())
             }
-            Some(Live::Doubtful { fingerprint: known, doubt }) if *known == fingerprint => {
-                doubt.waiters.push(ticket);
-                let is_first = doubt.waiters.len() == 1 && doubt.learned.is_none();
-                if is_first { Decision::QueryWriter(doubt.entry.clone()) } else { Decision::Wait }
+            Some(TrackedKey::Unresolved { fingerprint: known, intent })
+                if *known == fingerprint =>
+            {
+                intent.waiters.push(ticket);
+                let is_first = intent.waiters.len() == 1 && intent.learned.is_none();
+                if is_first { Decision::QueryWriter(intent.entry.clone()) } else { Decision::Wait }
             }
             Some(_) => Decision::KeyReused,
         }
     }
 
-    /// Takes the word of the entry that was asked: what it remembers of the key, if anything.
-    /// Without an end the key stays in doubt, and the next repeat asks again.
-    pub fn resolve(&mut self, key: &RequestKey, word: Option<KeyState>) -> Resolution {
-        let Some(Live::Doubtful { doubt, .. }) = self.keys.get_mut(key) else {
+    /// Processes the reply of the queried entry: its state of the key, if it has one. Without an
+    /// outcome the key stays unresolved, and the next repeated request causes another query.
+    pub fn resolve(&mut self, key: &RequestKey, reply: Option<KeyState>) -> Resolution {
+        let Some(TrackedKey::Unresolved { intent, .. }) = self.keys.get_mut(key) else {
             return Resolution::Unknown(Vec::new());
         };
-        let Doubt { waiters, learned, .. } = &mut **doubt;
-        match word {
+        let UnresolvedIntent { waiters, learned, .. } = &mut **intent;
+        match reply {
             Some(KeyState::Ended { fingerprint, outcome }) => {
                 *learned = Some(outcome.clone());
                 Resolution::WriteEnd(KeyState::Ended { fingerprint, outcome })
@@ -250,73 +253,73 @@
         }
     }
 
-    /// Says that durable write `number` carries the intent of `ticket`.
+    /// Records that write `number` contains the intent of `ticket`.
     pub fn on_intent_write_queued(&mut self, number: u64, ticket: Ticket, key: &RequestKey) {
-        self.uncommitted.push_back((number, ticket, Arc::clone(key)));
+        self.pending_intents.push_back((number, ticket, Arc::clone(key)));
     }
 
-    /// Says that durable write `number` carries the end of `key`.
+    /// Records that write `number` contains the outcome of `key`.
     pub fn on_end_write_queued(&mut self, number: u64, key: &RequestKey) {
-        self.unwritten.push_back((number, Arc::clone(key)));
+        self.pending_ends.push_back((number, Arc::clone(key)));
     }
 
-    /// Returns what is durable now.
+    /// Records that all writes up to number `up_to` are durable, and returns the tickets to act on.
     pub fn on_committed(&mut self, up_to: u64) -> CommitResult {
-        let written = self.unwritten.iter().take_while(|(number, _)| *number <= up_to).count();
+        let written = self.pending_ends.iter().take_while(|(number, _)| *number <= up_to).count();
         let written: Vec<RequestKey> =
-            self.unwritten.drain(..written).map(|(_, key)| key).collect();
-        let learned = written.iter().filter_map(|key| self.confirm(key)).collect();
-        let count = self.uncommitted.iter().take_while(|(number, ..)| *number <= up_to).count();
-        let sendable = self.uncommitted.drain(..count).map(|(_, ticket, _)| ticket).collect();
+            self.pending_ends.drain(..written).map(|(_, key)| key).collect();
+        let learned = written.iter().filter_map(|key| self.finish_learned(key)).collect();
+        let count = self.pending_intents.iter().take_while(|(number, ..)| *number <= up_to).count();
+        let sendable = self.pending_intents.drain(..count).map(|(_, ticket, _)| ticket).collect();
         CommitResult { sendable, resolved: learned }
     }
 
-    /// Turns a learned end that is durable into an end like any other.
-    fn confirm(&mut self, key: &RequestKey) -> Option<(Outcome, Vec<Ticket>)> {
-        let live = self.keys.get_mut(key)?;
-        let Live::Doubtful { fingerprint, doubt } = live else { return None };
-        let outcome = doubt.learned.take()?;
-        let waiters = std::mem::take(&mut doubt.waiters);
-        *live = Live::Ended { fingerprint: *fingerprint, outcome: outcome.clone() };
+    /// Marks a key as ended after its learned outcome has become durable.
+    fn finish_learned(&mut self, key: &RequestKey) -> Option<(Outcome, Vec<Ticket>)> {
+        let tracked = self.keys.get_mut(key)?;
+        let TrackedKey::Unresolved { fingerprint, intent } = tracked else { return None };
+        let outcome = intent.learned.take()?;
+        let waiters = std::mem::take(&mut intent.waiters);
+        *tracked = TrackedKey::Ended { fingerprint: *fingerprint, outcome: outcome.clone() };
         Some((outcome, waiters))
     }
 
-    /// Ends this ownership: `former` remembers what the next owner can't read in the log. Returns
-    /// the tickets whose intents are not known to be durable; they are never sent.
-    pub fn release_ownership(mut self, now: Now, former: &mut LostShardKeys) -> Vec<Ticket> {
+    /// Ends this ownership and moves the states that the log may lack into `lost_shard`. Returns
+    /// the tickets whose intents aren't known to be durable; their requests are never sent.
+    pub fn release_ownership(mut self, now: Now, lost_shard: &mut LostShardKeys) -> Vec<Ticket> {
         let mut unsent = Vec::new();
-        for (_, ticket, key) in std::mem::take(&mut self.uncommitted) {
+        for (_, ticket, key) in std::mem::take(&mut self.pending_intents) {
             self.keys.remove(&key);
-            former.insert(now, key, KeyState::Released);
+            lost_shard.insert(now, key, KeyState::Released);
             unsent.push(ticket);
         }
-        for (_, key) in std::mem::take(&mut self.unwritten) {
+        for (_, key) in std::mem::take(&mut self.pending_ends) {
             match self.keys.remove(&key) {
-                Some(Live::Ended { fingerprint, outcome }) => {
-                    former.insert(now, key, KeyState::Ended { fingerprint, outcome });
+                Some(TrackedKey::Ended { fingerprint, outcome }) => {
+                    lost_shard.insert(now, key, KeyState::Ended { fingerprint, outcome });
                 }
-                Some(live) => drop(self.keys.insert(key, live)),
-                None => former.insert(now, key, KeyState::Released),
+                Some(tracked) => drop(self.keys.insert(key, tracked)),
+                None => lost_shard.insert(now, key, KeyState::Released),
             }
         }
-        for (key, live) in self.keys {
-            if let Live::Running { fingerprint, .. } = live {
+        for (key, tracked) in self.keys {
+            if let TrackedKey::Running { fingerprint, .. } = tracked {
                 let entry = self.entry.clone();
-                former.insert(now, key, KeyState::Intent { fingerprint, entry });
+                lost_shard.insert(now, key, KeyState::Intent { fingerprint, entry });
             }
         }
         unsent
     }
 
-    /// Notes the outcome of a request that was recorded. Returns the state to make durable and
-    /// the tickets that wait for the same outcome.
+    /// Records the outcome of a running request. Returns the state to make durable and the tickets
+    /// that wait for the same outcome.
     pub fn record_outcome(
         &mut self,
         now: Now,
         key: &RequestKey,
         outcome: &Outcome,
     ) -> Option<(KeyState, Vec<Ticket>)> {
-        let Some(Live::Running { fingerprint, waiters }) = self.keys.get_mut(key) else {
+        let Some(TrackedKey::Running { fingerprint, waiters }) = self.keys.get_mut(key) else {
             return None;
         };
         let (fingerprint, waiters) = (*fingerprint, std::mem::take(waiters));
@@ -325,21 +328,21 @@
             return Some((KeyState::Released, waiters));
         }
         let kept = retained_outcome(outcome);
-        let live = Live::Ended { fingerprint, outcome: kept.clone() };
-        self.keys.insert(Arc::clone(key), live);
+        let tracked = TrackedKey::Ended { fingerprint, outcome: kept.clone() };
+        self.keys.insert(Arc::clone(key), tracked);
         self.expiring.insert((now + self.retention, Arc::clone(key)));
         Some((KeyState::Ended { fingerprint, outcome: kept }, waiters))
     }
 
-    /// Forgets outcomes past their retention and returns their keys.
+    /// Removes the keys past their retention and returns them.
     pub fn expire(&mut self, now: Now) -> Vec<RequestKey> {
-        let mut gone = Vec::new();
+        let mut expired = Vec::new();
         while self.expiring.first().is_some_and(|(at, _)| *at <= now) {
-            let (_, key) = self.expiring.pop_first().expect("it was there above");
+            let (_, key) = self.expiring.pop_first().expect("the set has a first element");
             self.keys.remove(&key);
-            gone.push(key);
+            expired.push(key);
         }
-        gone
+        expired
     }
 }
 
--- a/crates/jackdawpier_route/src/dispatcher.rs
+++ b/crates/jackdawpier_route/src/dispatcher.rs
@@ -1,8 +1,8 @@
-//! Admission, fair order, slots and retries of one service.
+//! Admission, fair queueing, slots and retries of one service.
 //!
-//! A request is either admitted with a real prospect of finishing by its deadline, or refused at
-//! once with the time to come back. What is admitted but can't make it any more is given up the
-//! moment that is known. See `docs/design/admission.md` and `docs/design/retries.md`.
+//! A request is admitted only if it is expected to finish by its deadline; otherwise it is refused
+//! at once with a retry time. An admitted request that can no longer meet its deadline is ended as
+//! soon as that is known. See `docs/design/admission.md` and `docs/design/retries.md`.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -23,89 +23,90 @@
     service_time::ServiceTime,
 };
 
-/// Retries allowed, as thousandths of the ordinary attempts of a class.
+/// Maximum share of retries, in thousandths of the admitted requests of a class.
 pub const RETRY_SHARE_PERMILLE: u32 = 100;
-/// Retries that a quiet time can save up.
-const RETRY_BURST: u32 = 10;
-/// Attempts of one request at most.
+/// Maximum number of retries that the retry budget accumulates.
+const RETRY_BUDGET_CAP: u32 = 10;
+/// Maximum number of attempts of one request.
 const MAX_ATTEMPTS: u32 = 3;
-/// Part of the slots that a slow class may hold while a fast one shares the service.
+/// Maximum share of the slots for a slow class: one whose mean service time is more than half of
+/// the shortest target of the service's classes.
 const SLOW_CLASS_SLOTS_PERCENT: u32 = 75;
-/// Shortest time that a refused caller is told to wait.
+/// Minimum retry time of a refusal.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// Time that a caller is told to wait when no executor can be used.
+/// Retry time of a refusal when there is no executor or no such class.
 const NO_EXECUTOR_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What the dispatcher must know of a request.
+/// Properties of a request that the dispatcher needs.
 #[derive(Debug, Clone)]
 pub struct RequestInfo {
-    /// Identity within this entry.
+    /// Id within this entry.
     pub ticket: Ticket,
-    /// Its class.
+    /// Class of the request.
     pub class: ClassName,
-    /// The customer that sent it.
+    /// Customer of the request.
     pub customer: CustomerName,
-    /// When the answer is worthless.
+    /// Time after which the answer is useless.
     pub deadline: Now,
-    /// Whether running it twice does no harm.
+    /// Whether the request may safely run more than once.
     pub is_idempotent: bool,
 }
 
-/// How one attempt at an executor ended.
+/// Outcome of one attempt at an executor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// A whole answer came.
+    /// A complete answer was received.
     Answered,
     /// No byte of the request was sent.
     NotConnected,
-    /// The executor said that it did not run the request.
+    /// The executor reported that it did not run the request.
     Declined {
-        /// Whether it said that it is leaving.
+        /// Whether it reported that it is leaving.
         is_leaving: bool,
     },
-    /// The executor said that it ran the request and failed.
+    /// The executor reported that it ran the request and failed.
     Failed,
-    /// Bytes were sent and no whole answer came.
+    /// Bytes were sent and no complete answer was received.
     Lost,
 }
 
-/// What the dispatcher wants done.
+/// Command of the dispatcher to its driver.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
-    /// Send the request to this executor now.
+    /// Send the request to an executor now.
     Send {
         /// The request.
         ticket: Ticket,
-        /// Where to.
+        /// The executor.
         executor: ExecutorId,
     },
-    /// Tell the caller that the request did not run.
+    /// Answer that the request did not run.
     Refuse {
         /// The request.
         ticket: Ticket,
-        /// Why.
+        /// Reason for the refusal.
         reason: RefusalReason,
-        /// When to come back.
+        /// Time after which the caller may retry.
         retry_after: Duration,
     },
-    /// Tell the caller that the request failed for certain.
+    /// Answer that the request ran and failed.
     Fail {
         /// The request.
         ticket: Ticket,
     },
-    /// Tell the caller that the request may or may not have run.
+    /// Answer that the request may or may not have run.
     Unknown {
         /// The request.
         ticket: Ticket,
     },
 }
 
-/// Why a request can't be admitted now.
+/// Refusal of a request that can't be admitted now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refusal {
-    /// The reason for the caller.
+    /// Reason, for the caller.
     pub reason: RefusalReason,
-    /// When to come back.
+    /// Time after which the caller may retry.
     pub retry_after: Duration,
 }
 
@@ -125,34 +126,36 @@
     attempts: u32,
     may_have_run: bool,
     running_on: Option<(ExecutorId, Now)>,
-    avoid: Option<ExecutorId>,
+    last_failed_on: Option<ExecutorId>,
 }
 
-/// The dispatcher of one service.
+/// Dispatcher of one service.
 #[derive(Debug)]
 pub struct Dispatcher {
     classes: BTreeMap<ClassName, ClassState>,
     executors: Executors,
     pending: HashMap<Ticket, Pending>,
     by_latest_start: BTreeSet<(Now, Ticket)>,
-    orphans: BTreeSet<(Now, Ticket, ExecutorId)>,
+    held_slots: BTreeSet<(Now, Ticket, ExecutorId)>,
     queue_per_customer: usize,
 }
 
 impl Dispatcher {
-    /// Returns a dispatcher without classes and executors.
+    /// Returns a dispatcher without classes and executors that queues up to `queue_per_customer`
+    /// requests of each customer and class.
     pub fn new(queue_per_customer: usize) -> Self {
         Self {
             classes: BTreeMap::new(),
             executors: Executors::default(),
             pending: HashMap::new(),
             by_latest_start: BTreeSet::new(),
-            orphans: BTreeSet::new(),
+            held_slots: BTreeSet::new(),
             queue_per_customer,
         }
     }
 
-    /// Takes over the classes of the service. A class that is gone finishes what it has queued.
+    /// Adds or updates the classes of the service. No class is removed, so requests that are queued
+    /// for a class no longer declared still finish.
     pub fn set_classes<'a>(&mut self, classes: impl IntoIterator<Item = &'a Class>) {
         for class in classes {
             let finish_within = class.finish_within();
@@ -160,7 +163,7 @@
                 finish_within,
                 queue: FairQueue::default(),
                 service_time: ServiceTime::new(finish_within),
-                retry_budget: ShareBudget::new(RETRY_SHARE_PERMILLE, RETRY_BURST),
+                retry_budget: ShareBudget::new(RETRY_SHARE_PERMILLE, RETRY_BUDGET_CAP),
                 running: 0,
             });
             state.finish_within = finish_within;
@@ -178,23 +181,24 @@
         self.executors.mark_leaving(id);
     }
 
-    /// Forgets the executors that `keep` refuses.
+    /// Removes the executors for which `keep` returns false.
     pub fn retain_executors(&mut self, keep: impl Fn(&str) -> bool) {
-        let gone: Vec<ExecutorId> = self.executors.ids().filter(|id| !keep(id)).cloned().collect();
-        gone.iter().for_each(|id| self.executors.remove(id));
+        let removed: Vec<ExecutorId> =
+            self.executors.ids().filter(|id| !keep(id)).cloned().collect();
+        removed.iter().for_each(|id| self.executors.remove(id));
     }
 
-    /// The executors, for reports.
+    /// Returns the executors, for reports.
     pub fn executors(&self) -> &Executors {
         &self.executors
     }
 
-    /// Requests that wait, of all classes.
+    /// Returns the number of queued requests of all classes.
     pub fn queued(&self) -> usize {
         self.classes.values().map(|class| class.queue.len()).sum()
     }
 
-    /// Executors that the requests running and waiting now would fill, in thousandths.
+    /// Returns the demand of the running and queued requests, in thousandths of an executor.
     pub fn demand_milli(&self) -> u32 {
         let executors = self.executors.accepting_count() as u32;
         if executors == 0 {
@@ -204,12 +208,12 @@
         (self.pending.len() as u32).saturating_mul(1000) / slots_each
     }
 
-    /// Requests that this dispatcher has not finished.
+    /// Returns the number of requests that are queued or running.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// Says whether a request of `class` could be admitted, without changing anything.
+    /// Checks whether a request of `class` would be admitted now.
     pub fn check_admission(
         &self,
         now: Now,
@@ -238,8 +242,9 @@
         Ok(())
     }
 
-    /// Time until a new request of `customer` would start. Customers take turns, so a customer's
-    /// own backlog and the number of active customers count, not the longest queue.
+    /// Returns the expected queueing time of a new request of `customer`. Customers are served in
+    /// turn, so it depends on the customer's own backlog and the number of active customers, not on
+    /// the longest queue.
     fn expected_wait(&self, state: &ClassState, customer: &str) -> Duration {
         if state.queue.is_empty() && self.executors.has_free_slot() {
             return Duration::ZERO;
@@ -250,14 +255,15 @@
         state.service_time.mean() * ahead as u32 / self.executors.slots().max(1)
     }
 
-    /// Takes a request in, or refuses it at once.
+    /// Admits a request or refuses it at once.
     pub fn submit(&mut self, now: Now, info: RequestInfo) -> Vec<Command> {
         if let Err(refusal) = self.check_admission(now, &info.class, &info.customer, info.deadline)
         {
             let Refusal { reason, retry_after } = refusal;
             return vec![Command::Refuse { ticket: info.ticket, reason, retry_after }];
         }
-        let state = self.classes.get_mut(&info.class).expect("admitted requests have a class");
+        let state =
+            self.classes.get_mut(&info.class).expect("an admitted request has a known class");
         state.retry_budget.deposit();
         state.queue.push(&info.customer, info.ticket);
         let latest_start = info.deadline.saturating_sub(state.service_time.upper_estimate());
@@ -267,93 +273,94 @@
             attempts: 0,
             may_have_run: false,
             running_on: None,
-            avoid: None,
+            last_failed_on: None,
             info,
         };
         self.pending.insert(pending.info.ticket, pending);
         self.dispatch(now)
     }
 
-    /// Drops a request whose caller is gone, and returns whether it did. One that runs keeps its
-    /// slot until it ends.
+    /// Removes a queued request whose caller has disconnected; returns whether it was queued. A
+    /// running request keeps its slot until it ends.
     pub fn cancel(&mut self, ticket: Ticket) -> bool {
         let is_waiting =
             self.pending.get(&ticket).is_some_and(|pending| pending.running_on.is_none());
-        is_waiting && self.take_queued(ticket).is_some()
+        is_waiting && self.remove_queued(ticket).is_some()
     }
 
-    /// Learns that an attempt ended, and decides what follows.
+    /// Records the outcome of an attempt, then retries or ends the request.
     pub fn finish_attempt(
         &mut self,
         now: Now,
         ticket: Ticket,
-        end: AttemptOutcome,
+        outcome: AttemptOutcome,
     ) -> Vec<Command> {
         let Some((executor, started_at)) =
             self.pending.get_mut(&ticket).and_then(|pending| pending.running_on.take())
         else {
             return Vec::new();
         };
-        self.settle_executor(now, ticket, &executor, end);
-        let pending = self.pending.get_mut(&ticket).expect("the attempt belongs to a request");
-        pending.may_have_run |= matches!(end, AttemptOutcome::Failed | AttemptOutcome::Lost);
-        let class = self.classes.get_mut(&pending.info.class).expect("classes are never dropped");
+        self.update_executor(now, ticket, &executor, outcome);
+        let pending =
+            self.pending.get_mut(&ticket).expect("a running attempt belongs to a pending request");
+        pending.may_have_run |= matches!(outcome, AttemptOutcome::Failed | AttemptOutcome::Lost);
+        let class = self.classes.get_mut(&pending.info.class).expect("classes are never removed");
         class.running -= 1;
-        if end == AttemptOutcome::Answered {
+        if outcome == AttemptOutcome::Answered {
             class.service_time.observe(now.saturating_sub(started_at));
             self.pending.remove(&ticket);
             return self.dispatch(now);
         }
-        let may_repeat = pending.info.is_idempotent || !pending.may_have_run;
+        let may_retry = pending.info.is_idempotent || !pending.may_have_run;
         let has_time = now <= pending.latest_start && pending.attempts < MAX_ATTEMPTS;
         let mut commands = Vec::new();
-        if may_repeat && has_time && class.retry_budget.try_withdraw() {
-            pending.avoid = Some(executor);
+        if may_retry && has_time && class.retry_budget.try_withdraw() {
+            pending.last_failed_on = Some(executor);
             class.queue.push_front(&pending.info.customer, ticket);
             self.by_latest_start.insert((pending.latest_start, ticket));
         } else {
-            let pending = self.pending.remove(&ticket).expect("it was there above");
-            commands.push(self.give_up(&pending, end));
+            let pending = self.pending.remove(&ticket).expect("the request is pending");
+            commands.push(self.final_answer(&pending, outcome));
         }
         commands.extend(self.dispatch(now));
         commands
     }
 
-    fn settle_executor(
+    fn update_executor(
         &mut self,
         now: Now,
         ticket: Ticket,
         executor: &ExecutorId,
-        end: AttemptOutcome,
+        outcome: AttemptOutcome,
     ) {
-        let health = match end {
+        let health = match outcome {
             AttemptOutcome::Answered | AttemptOutcome::Declined { .. } => Health::Good,
             AttemptOutcome::NotConnected => Health::Unreachable,
             AttemptOutcome::Failed | AttemptOutcome::Lost => Health::Bad,
         };
         self.executors.observe(now, executor, health);
-        if end == (AttemptOutcome::Declined { is_leaving: true }) {
+        if outcome == (AttemptOutcome::Declined { is_leaving: true }) {
             self.executors.mark_leaving(executor);
         }
-        if end == AttemptOutcome::Lost {
-            // The executor may still be working on it, so its slot isn't free yet.
-            let hold = self.orphan_hold(ticket);
-            self.orphans.insert((now + hold, ticket, executor.clone()));
+        if outcome == AttemptOutcome::Lost {
+            // The executor may still be running the request, so its slot stays taken for a while.
+            let hold_time = self.lost_slot_hold_time(ticket);
+            self.held_slots.insert((now + hold_time, ticket, executor.clone()));
         } else {
             self.executors.release_slot(executor);
         }
     }
 
-    fn orphan_hold(&self, ticket: Ticket) -> Duration {
+    fn lost_slot_hold_time(&self, ticket: Ticket) -> Duration {
         self.pending
             .get(&ticket)
             .and_then(|pending| self.classes.get(&pending.info.class))
             .map_or(NO_EXECUTOR_RETRY_AFTER, |class| class.service_time.upper_estimate())
     }
 
-    /// The final answer to a request that gets no further attempt: "not run" only if that is
-    /// certain for all of its attempts.
-    fn give_up(&self, pending: &Pending, end: AttemptOutcome) -> Command {
+    /// Returns the final answer to a request without further attempts: "not run" only if none of
+    /// its attempts can have run.
+    fn final_answer(&self, pending: &Pending, outcome: AttemptOutcome) -> Command {
         let ticket = pending.info.ticket;
         if !pending.may_have_run {
             let class = &self.classes[&pending.info.class];
@@ -361,17 +368,19 @@
             let retry_after = wait.max(MIN_RETRY_AFTER);
             return Command::Refuse { ticket, reason: RefusalReason::NotConnected, retry_after };
         }
-        match end {
+        match outcome {
             AttemptOutcome::Failed => Command::Fail { ticket },
             _ => Command::Unknown { ticket },
         }
     }
 
-    /// Gives up what can't finish any more, frees what timed out, and starts what can start.
+    /// Ends requests that can no longer meet their deadlines, frees slots of lost attempts and
+    /// starts queued requests.
     pub fn tick(&mut self, now: Now) -> Vec<Command> {
         self.executors.tick(now);
-        while self.orphans.first().is_some_and(|(until, ..)| *until <= now) {
-            let (_, _, executor) = self.orphans.pop_first().expect("it was there above");
+        while self.held_slots.first().is_some_and(|(until, ..)| *until <= now) {
+            let (_, _, executor) =
+                self.held_slots.pop_first().expect("the set has a first element");
             self.executors.release_slot(&executor);
         }
         let mut commands = self.expire(now);
@@ -386,14 +395,14 @@
                 break;
             }
             self.by_latest_start.pop_first();
-            if let Some(pending) = self.take_queued(ticket) {
-                commands.push(self.expired(&pending));
+            if let Some(pending) = self.remove_queued(ticket) {
+                commands.push(self.expiry_answer(&pending));
             }
         }
         commands
     }
 
-    fn expired(&self, pending: &Pending) -> Command {
+    fn expiry_answer(&self, pending: &Pending) -> Command {
         let ticket = pending.info.ticket;
         if pending.may_have_run {
             return Command::Unknown { ticket };
@@ -403,7 +412,7 @@
         Command::Refuse { ticket, reason: RefusalReason::DeadlineUnreachable, retry_after }
     }
 
-    fn take_queued(&mut self, ticket: Ticket) -> Option<Pending> {
+    fn remove_queued(&mut self, ticket: Ticket) -> Option<Pending> {
         let pending = self.pending.remove(&ticket)?;
         self.by_latest_start.remove(&(pending.latest_start, ticket));
         let class = self.classes.get_mut(&pending.info.class)?;
@@ -415,11 +424,12 @@
         let mut commands = self.expire(now);
         while self.executors.has_free_slot() {
             let Some(name) = self.next_class() else { break };
-            let class = self.classes.get_mut(&name).expect("the class was just chosen");
+            let class = self.classes.get_mut(&name).expect("next_class() returns a known class");
             let cost = class.service_time.mean().as_micros() as u64;
             let Some(ticket) = class.queue.pop(cost) else { break };
-            let pending = self.pending.get_mut(&ticket).expect("queued requests are pending");
-            let Some(executor) = self.executors.acquire_slot_avoiding(pending.avoid.as_ref())
+            let pending = self.pending.get_mut(&ticket).expect("a queued request is pending");
+            let Some(executor) =
+                self.executors.acquire_slot_avoiding(pending.last_failed_on.as_ref())
             else {
                 break;
             };
@@ -432,14 +442,15 @@
         commands
     }
 
-    /// The class whose next request must start first, among those below their share of slots.
+    /// Returns the class whose next request has the earliest latest start, among the classes below
+    /// their share of the slots.
     fn next_class(&self) -> Option<ClassName> {
         let slots = self.executors.slots();
-        let fastest = self.classes.values().map(|class| class.finish_within).min()?;
+        let shortest_target = self.classes.values().map(|class| class.finish_within).min()?;
         self.classes
             .iter()
             .filter(|(_, class)| {
-                let is_slow = class.service_time.mean() * 2 > fastest;
+                let is_slow = class.service_time.mean() * 2 > shortest_target;
                 !is_slow || class.running < (slots * SLOW_CLASS_SLOTS_PERCENT / 100).max(1)
             })
             .filter_map(|(name, class)| {
--- a/crates/jackdawpier_route/src/lib.rs
+++ b/crates/jackdawpier_route/src/lib.rs
@@ -1,7 +1,9 @@
-//! Pure decisions on the request path: admission, fairness, limits, retries and deduplication.
+//! Decisions on the request path, without I/O: admission, fairness, limits, retries and
+//! deduplication.
 //!
-//! One entry decides for one service at a time, so that fairness and slot limits are exact in a
-//! steady view of members; `docs/design/routing.md` weighs this against independent choice.
+//! One entry at a time decides for a service, so fairness and slot limits are exact while the
+//! membership is stable. `docs/design/routing.md` compares this with independent routing by each
+//! entry.
 
 pub mod dedupe;
 pub mod dispatcher;
--- a/crates/jackdawpier_route/src/routing.rs
+++ b/crates/jackdawpier_route/src/routing.rs
@@ -1,24 +1,25 @@
-//! Which entry decides for a service.
+//! Choice of the entry that decides on a request.
 //!
-//! A keyed request goes to the recorded owner alone, since only its cell may write the intent. Any
-//! other request goes to the preferred *reachable* member: the store need not be up for that, and
-//! a dead owner costs no wait for its lease. See `docs/design/routing.md`.
+//! A keyed request goes only to the recorded owner, since only the owner's cell may write the
+//! intent. Any other request goes to the preferred *reachable* member. That works while the store
+//! is unavailable, and no request waits for the lease of a dead owner. See
+//! `docs/design/routing.md`.
 
 use jackdawpier_kernel::ids::EntryId;
 
-/// Where a request is decided.
+/// Entry that decides on a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RouteTarget {
-    /// At this entry.
+    /// This entry.
     Local,
-    /// At another entry.
+    /// Another entry.
     Peer(EntryId),
-    /// Nowhere at the moment.
+    /// No entry can decide now.
     Unavailable,
 }
 
-/// Chooses the place for a request without a key, from the ranking of the service's candidates.
-/// An entry that is stopping decides only where nobody else can, as the others leave it out too.
+/// Routes a request without a key, by the ranking of the service's candidates. A stopping entry
+/// decides itself only if no other candidate is reachable, since the others avoid it too.
 pub fn route_unkeyed(
     ranking: &[EntryId],
     own: &str,
@@ -32,7 +33,7 @@
     }
 }
 
-/// Chooses the place for a keyed request, given the recorded owner.
+/// Routes a keyed request, given the recorded owner.
 pub fn route_keyed(
     own: &str,
     owner: Option<&str>,
--- a/crates/jackdawpier_route/tests/dedupe.rs
+++ b/crates/jackdawpier_route/tests/dedupe.rs
@@ -1,4 +1,5 @@
-//! Keys: intents, repeats, reuse, release and retention.
+//! Deduplication of keyed requests: intents, repeated requests, key reuse, ownership changes and
+//! retention.
 
 use std::time::Duration;
 
@@ -26,8 +27,8 @@
     })
 }
 
-/// A table of `entry-a` whose write 1 carries the intent of ticket 1.
-fn recorded() -> Dedupe {
+/// Returns a table of `entry-a` whose write 1 contains the intent of ticket 1.
+fn table_with_intent() -> Dedupe {
     let mut dedupe = Dedupe::new("entry-a".into(), RETENTION);
     assert!(matches!(dedupe.begin(&key(), 1, 1), Decision::WriteIntent { .. }));
     dedupe.on_intent_write_queued(1, 1, &key());
@@ -35,13 +36,17 @@
 }
 
 #[test]
-fn repeat_answered() {
-    let mut dedupe = recorded();
-    assert!(dedupe.on_committed(0).sendable.is_empty(), "not durable yet, so it must not be sent");
+fn repeat_replayed() {
+    let mut dedupe = table_with_intent();
+    assert!(
+        dedupe.on_committed(0).sendable.is_empty(),
+        "no request is sent before its intent is durable"
+    );
     assert_eq!(dedupe.on_committed(1).sendable, [1]);
     assert_eq!(dedupe.begin(&key(), 1, 2), Decision::Wait);
-    let (_, waiters) =
-        dedupe.record_outcome(Now::ZERO, &key(), &answered(b"done")).expect("it ran");
+    let (_, waiters) = dedupe
+        .record_outcome(Now::ZERO, &key(), &answered(b"done"))
+        .expect("the request is running");
     assert_eq!(waiters, [2]);
     assert_eq!(dedupe.begin(&key(), 1, 3), Decision::Replay(answered(b"done")));
 }
@@ -53,19 +58,19 @@
     assert_eq!(dedupe.begin(&key(), 2, 2), Decision::KeyReused);
 }
 
-/// A table of `entry-b` that read an intent of `entry-a` in the log.
-fn in_doubt() -> Dedupe {
+/// Returns a table of `entry-b` that recovered an intent of `entry-a` from the log.
+fn table_with_foreign_intent() -> Dedupe {
     let mut dedupe = Dedupe::new("entry-b".into(), RETENTION);
     let intent = KeyState::Intent { fingerprint: 1, entry: "entry-a".into() };
-    let mut former = LostShardKeys::new(RETENTION);
-    let news = dedupe.recover(Now::ZERO, [(key(), intent)], &mut former);
-    assert!(news.is_empty(), "nothing is known beyond the log");
+    let mut lost_shard = LostShardKeys::new(RETENTION);
+    let missing_states = dedupe.recover(Now::ZERO, [(key(), intent)], &mut lost_shard);
+    assert!(missing_states.is_empty(), "the log lacks no state");
     dedupe
 }
 
 #[test]
 fn intent_recovered() {
-    let mut dedupe = in_doubt();
+    let mut dedupe = table_with_foreign_intent();
     assert_eq!(dedupe.begin(&key(), 1, 1), Decision::QueryWriter("entry-a".into()));
     assert_eq!(dedupe.begin(&key(), 1, 2), Decision::Wait);
     assert_eq!(dedupe.begin(&key(), 2, 3), Decision::KeyReused);
@@ -73,81 +78,87 @@
     assert_eq!(
         dedupe.begin(&key(), 1, 4),
         Decision::QueryWriter("entry-a".into()),
-        "it is asked again"
+        "the writer is queried again"
     );
 }
 
 #[test]
-fn end_recalled() {
-    let mut former = LostShardKeys::new(RETENTION);
-    let mut dedupe = recorded();
+fn outcome_queried() {
+    let mut lost_shard = LostShardKeys::new(RETENTION);
+    let mut dedupe = table_with_intent();
     dedupe.on_committed(1);
     dedupe.record_outcome(Now::ZERO, &key(), &answered(b"done"));
     dedupe.on_end_write_queued(2, &key());
-    assert!(dedupe.release_ownership(Now::ZERO, &mut former).is_empty());
-    let word = former.get(&key());
-    let mut next = in_doubt();
+    assert!(dedupe.release_ownership(Now::ZERO, &mut lost_shard).is_empty());
+    let reply = lost_shard.get(&key());
+    let mut next = table_with_foreign_intent();
     next.begin(&key(), 1, 7);
-    let ended = word.clone().expect("the end was not written");
-    assert_eq!(next.resolve(&key(), word), Resolution::WriteEnd(ended));
+    let ended = reply.clone().expect("the lost shard has the unwritten outcome");
+    assert_eq!(next.resolve(&key(), reply), Resolution::WriteEnd(ended));
     next.on_end_write_queued(1, &key());
-    assert_eq!(next.begin(&key(), 1, 9), Decision::Wait, "not told before it is durable");
+    assert_eq!(next.begin(&key(), 1, 9), Decision::Wait, "no answer before the outcome is durable");
     assert_eq!(next.on_committed(1).resolved, [(answered(b"done"), vec![7, 9])]);
     assert_eq!(next.begin(&key(), 1, 8), Decision::Replay(answered(b"done")));
 }
 
 #[test]
 fn unsent_released() {
-    let mut former = LostShardKeys::new(RETENTION);
-    let dedupe = recorded();
-    assert_eq!(dedupe.release_ownership(Now::ZERO, &mut former), [1], "it is not sent any more");
-    let mut next = in_doubt();
+    let mut lost_shard = LostShardKeys::new(RETENTION);
+    let dedupe = table_with_intent();
+    assert_eq!(
+        dedupe.release_ownership(Now::ZERO, &mut lost_shard),
+        [1],
+        "a request without a durable intent is never sent"
+    );
+    let mut next = table_with_foreign_intent();
     next.begin(&key(), 1, 7);
-    assert_eq!(next.resolve(&key(), former.get(&key())), Resolution::Release(vec![7]));
+    assert_eq!(next.resolve(&key(), lost_shard.get(&key())), Resolution::Release(vec![7]));
     assert!(matches!(next.begin(&key(), 1, 8), Decision::WriteIntent { .. }));
 }
 
 #[test]
-fn owned_again() {
-    let mut former = LostShardKeys::new(RETENTION);
-    let mut dedupe = recorded();
+fn ownership_regained() {
+    let mut lost_shard = LostShardKeys::new(RETENTION);
+    let mut dedupe = table_with_intent();
     dedupe.on_committed(1);
     let intent = KeyState::Intent { fingerprint: 1, entry: "entry-a".into() };
-    dedupe.release_ownership(Now::ZERO, &mut former);
-    assert_eq!(former.get(&key()), Some(intent.clone()), "it still runs here");
+    dedupe.release_ownership(Now::ZERO, &mut lost_shard);
+    assert_eq!(lost_shard.get(&key()), Some(intent.clone()), "the request is still running");
     let mut again = Dedupe::new("entry-a".into(), RETENTION);
-    assert!(again.recover(Now::ZERO, [(key(), intent)], &mut former).is_empty());
+    assert!(again.recover(Now::ZERO, [(key(), intent)], &mut lost_shard).is_empty());
     assert_eq!(again.begin(&key(), 1, 2), Decision::Wait);
-    let (_, waiters) = again.record_outcome(Now::ZERO, &key(), &answered(b"done")).expect("it ran");
+    let (_, waiters) = again
+        .record_outcome(Now::ZERO, &key(), &answered(b"done"))
+        .expect("the request is running");
     assert_eq!(waiters, [2]);
 }
 
-/// The intent of the first ownership never became durable. In the second the key is sent; were it
-/// still remembered as unsent, an owner that asks now would let it run again.
+/// A key is released in the first ownership and sent in the second. If the lost shard still had it
+/// as released, the next owner would let the request run a second time.
 #[test]
-fn former_outdated() {
-    let mut former = LostShardKeys::new(RETENTION);
-    recorded().release_ownership(Now::ZERO, &mut former);
-    assert_eq!(former.get(&key()), Some(KeyState::Released));
+fn lost_shard_cleared() {
+    let mut lost_shard = LostShardKeys::new(RETENTION);
+    table_with_intent().release_ownership(Now::ZERO, &mut lost_shard);
+    assert_eq!(lost_shard.get(&key()), Some(KeyState::Released));
     let mut second = Dedupe::new("entry-a".into(), RETENTION);
-    second.recover(Now::ZERO, [], &mut former);
+    second.recover(Now::ZERO, [], &mut lost_shard);
     second.begin(&key(), 1, 2);
     second.on_intent_write_queued(1, 2, &key());
-    assert_eq!(second.on_committed(1).sendable, [2], "it is sent");
-    assert_eq!(former.get(&key()), None);
+    assert_eq!(second.on_committed(1).sendable, [2], "a request with a durable intent is sent");
+    assert_eq!(lost_shard.get(&key()), None);
 }
 
 #[test]
-fn end_after_loss() {
-    let mut former = LostShardKeys::new(RETENTION);
+fn outcome_after_loss() {
+    let mut lost_shard = LostShardKeys::new(RETENTION);
     let mut dedupe = Dedupe::new("entry-a".into(), RETENTION);
     dedupe.begin(&key(), 1, 1);
-    dedupe.release_ownership(Now::ZERO, &mut former);
-    former.record_outcome(Now::ZERO, &key(), &answered(b"done"));
+    dedupe.release_ownership(Now::ZERO, &mut lost_shard);
+    lost_shard.record_outcome(Now::ZERO, &key(), &answered(b"done"));
     let ended = KeyState::Ended { fingerprint: 1, outcome: answered(b"done") };
-    assert_eq!(former.get(&key()), Some(ended));
-    former.expire(RETENTION);
-    assert!(former.is_empty());
+    assert_eq!(lost_shard.get(&key()), Some(ended));
+    lost_shard.expire(RETENTION);
+    assert!(lost_shard.is_empty());
 }
 
 #[test]
@@ -156,18 +167,19 @@
     dedupe.begin(&key(), 1, 1);
     let outcome =
         Outcome::NotRun { reason: RefusalReason::NotConnected, retry_after: Duration::ZERO };
-    let (state, _) = dedupe.record_outcome(Now::ZERO, &key(), &outcome).expect("it was recorded");
+    let (state, _) =
+        dedupe.record_outcome(Now::ZERO, &key(), &outcome).expect("the request is running");
     assert_eq!(state, KeyState::Released);
     assert!(matches!(dedupe.begin(&key(), 1, 2), Decision::WriteIntent { .. }));
 }
 
 #[test]
-fn long_answer() {
+fn long_body_dropped() {
     let mut dedupe = Dedupe::new("entry-a".into(), RETENTION);
     dedupe.begin(&key(), 1, 1);
     dedupe.record_outcome(Now::ZERO, &key(), &answered(&vec![b'x'; MAX_RETAINED_BODY_BYTES + 1]));
     let Decision::Replay(Outcome::Answered(answer)) = dedupe.begin(&key(), 1, 2) else {
-        panic!("a long answer is still an answer");
+        panic!("the outcome of a long answer is still an answer");
     };
     assert!(answer.body.len() < MAX_RETAINED_BODY_BYTES);
 }
--- a/crates/jackdawpier_route/tests/ejection.rs
+++ b/crates/jackdawpier_route/tests/ejection.rs
@@ -1,11 +1,11 @@
-//! Executors that fail, and the floor that keeps a zone in.
+//! Ejection of failing executors, and the minimum share of a zone that stays in use.
 
 use std::time::Duration;
 
 use jackdawpier_kernel::Now;
 use jackdawpier_route::executors::{ExecutorInfo, Executors, Health};
 
-fn zone_of(count: u32) -> Executors {
+fn zone_with(count: u32) -> Executors {
     let mut executors = Executors::default();
     for index in 0..count {
         executors.upsert(ExecutorInfo {
@@ -19,7 +19,7 @@
     executors
 }
 
-fn usable(executors: &mut Executors) -> usize {
+fn usable_count(executors: &mut Executors) -> usize {
     let mut taken = Vec::new();
     while let Some(id) = executors.acquire_slot() {
         taken.push(id);
@@ -32,29 +32,29 @@
 }
 
 #[test]
-fn zone_floor() {
-    let mut executors = zone_of(6);
+fn zone_minimum_kept() {
+    let mut executors = zone_with(6);
     for _ in 0..10 {
         for index in 0..6 {
             executors.observe(Now::ZERO, &format!("executor-{index}"), Health::Bad);
         }
     }
-    assert_eq!(usable(&mut executors), 3, "half of the zone stays in");
+    assert_eq!(usable_count(&mut executors), 3, "half of the zone stays in use");
 }
 
 #[test]
-fn unreachable_out() {
-    let mut executors = zone_of(2);
+fn unreachable_ejected() {
+    let mut executors = zone_with(2);
     executors.observe(Now::ZERO, "executor-0", Health::Unreachable);
     executors.observe(Now::ZERO, "executor-1", Health::Unreachable);
-    assert_eq!(usable(&mut executors), 0, "what can't be connected to is left out at once");
+    assert_eq!(usable_count(&mut executors), 0, "unreachable executors are ejected at once");
     executors.tick(Duration::from_secs(1));
-    assert_eq!(usable(&mut executors), 2, "each gets a probe after its backoff");
+    assert_eq!(usable_count(&mut executors), 2, "each executor gets a probe after its back-off");
 }
 
 #[test]
-fn probe_single() {
-    let mut executors = zone_of(1);
+fn single_probe() {
+    let mut executors = zone_with(1);
     executors.observe(Now::ZERO, "executor-0", Health::Unreachable);
     executors.tick(Duration::from_secs(1));
     assert!(executors.acquire_slot().is_some());
@@ -65,8 +65,8 @@
 }
 
 #[test]
-fn leaving_final() {
-    let mut executors = zone_of(1);
+fn leaving_is_final() {
+    let mut executors = zone_with(1);
     executors.mark_leaving("executor-0");
     let listed = ExecutorInfo {
         id: "executor-0".into(),
@@ -76,5 +76,5 @@
         is_leaving: false,
     };
     executors.upsert(listed);
-    assert!(executors.acquire_slot().is_none(), "a lagging list doesn't bring it back");
+    assert!(executors.acquire_slot().is_none(), "a stale list doesn't reactivate it");
 }
--- a/crates/jackdawpier_route/tests/limits.rs
+++ b/crates/jackdawpier_route/tests/limits.rs
@@ -1,4 +1,5 @@
-//! The dispatcher over random histories: slots, finality, retries and leaving executors.
+//! Random histories of the dispatcher, checked against its invariants: slot limits, one final
+//! answer per request, bounded retries and no work for leaving executors.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,31 +17,31 @@
 const SEED: u64 = 20_261_202;
 const EXECUTORS: u8 = 4;
 const SLOTS: u32 = 3;
-const RETRY_BURST: u64 = 10;
+const RETRY_BUDGET_CAP: u64 = 10;
 
 #[derive(Debug, Clone, Copy)]
-enum Step {
-    Arrive { customer: u8, time_ms: u16, is_idempotent: bool },
-    End { which: u8, how: u8 },
-    Pass { ms: u16 },
+enum Event {
+    Arrive { customer: u8, timeout_ms: u16, is_idempotent: bool },
+    End { index: u8, outcome: u8 },
+    AdvanceTime { ms: u16 },
     Leave { executor: u8 },
     List { executor: u8 },
-    Cancel { which: u8 },
+    Cancel { index: u8 },
 }
 
-impl Arbitrary for Step {
+impl Arbitrary for Event {
     fn arbitrary(g: &mut Gen) -> Self {
         match u8::arbitrary(g) % 12 {
             0..=4 => Self::Arrive {
                 customer: u8::arbitrary(g) % 3,
-                time_ms: u16::arbitrary(g) % 800,
+                timeout_ms: u16::arbitrary(g) % 800,
                 is_idempotent: bool::arbitrary(g),
             },
-            5..=8 => Self::End { which: u8::arbitrary(g), how: u8::arbitrary(g) },
-            9 => Self::Pass { ms: u16::arbitrary(g) % 500 },
+            5..=8 => Self::End { index: u8::arbitrary(g), outcome: u8::arbitrary(g) },
+            9 => Self::AdvanceTime { ms: u16::arbitrary(g) % 500 },
             10 if bool::arbitrary(g) => Self::Leave { executor: u8::arbitrary(g) % EXECUTORS },
             10 => Self::List { executor: u8::arbitrary(g) % EXECUTORS },
-            _ => Self::Cancel { which: u8::arbitrary(g) },
+            _ => Self::Cancel { index: u8::arbitrary(g) },
         }
     }
 }
@@ -67,12 +68,13 @@
     is_cancelled: bool,
 }
 
-/// What the checker leaves out on purpose, to see that it notices.
+/// Facts that are hidden from the dispatcher on purpose, to show that the checker detects the
+/// fault.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-struct Switches {
-    /// The dispatcher is not told which executors leave.
+struct HiddenFacts {
+    /// The dispatcher isn't told which executors are leaving.
     hides_leaving: bool,
-    /// The dispatcher is told of every request that it is idempotent.
+    /// The dispatcher is told that every request is idempotent.
     hides_idempotence: bool,
     /// The dispatcher is told that lost attempts were never sent.
     hides_loss: bool,
@@ -80,32 +82,33 @@
 
 struct Checker {
     dispatcher: Dispatcher,
-    switches: Switches,
+    hidden: HiddenFacts,
     now: Now,
     requests: BTreeMap<u64, Request>,
     leaving: BTreeSet<String>,
     in_flight: BTreeMap<String, u32>,
     sends: u64,
     arrived: u64,
-    next: u64,
+    next_ticket: u64,
 }
 
 impl Checker {
-    fn new(switches: Switches) -> Self {
+    fn new(hidden: HiddenFacts) -> Self {
         let mut dispatcher = Dispatcher::new(8);
         dispatcher.set_classes([&class()]);
         let mut checker = Self {
             dispatcher,
-            switches,
+            hidden,
             now: Now::ZERO,
             requests: BTreeMap::new(),
             leaving: BTreeSet::new(),
             in_flight: BTreeMap::new(),
             sends: 0,
             arrived: 0,
-            next: 0,
+            next_ticket: 0,
         };
-        (0..EXECUTORS).for_each(|executor| checker.list(executor).expect("nothing runs yet"));
+        (0..EXECUTORS)
+            .for_each(|executor| checker.list(executor).expect("no attempt is running yet"));
         checker
     }
 
@@ -118,51 +121,52 @@
             is_leaving: false,
         };
         let commands = self.dispatcher.upsert_executor(self.now, info);
-        self.follow(commands)
+        self.apply_commands(commands)
     }
 
-    fn step(&mut self, step: Step) -> Result<(), String> {
-        match step {
-            Step::Arrive { customer, time_ms, is_idempotent } => {
-                self.next += 1;
+    fn apply_event(&mut self, event: Event) -> Result<(), String> {
+        match event {
+            Event::Arrive { customer, timeout_ms, is_idempotent } => {
+                self.next_ticket += 1;
                 self.arrived += 1;
                 let request = Request { is_idempotent, ..Request::default() };
-                self.requests.insert(self.next, request);
+                self.requests.insert(self.next_ticket, request);
                 let info = RequestInfo {
-                    ticket: self.next,
+                    ticket: self.next_ticket,
                     class: "render".into(),
                     customer: format!("customer-{customer}").into(),
-                    deadline: self.now + Duration::from_millis(u64::from(time_ms)),
-                    is_idempotent: is_idempotent || self.switches.hides_idempotence,
+                    deadline: self.now + Duration::from_millis(u64::from(timeout_ms)),
+                    is_idempotent: is_idempotent || self.hidden.hides_idempotence,
                 };
                 let commands = self.dispatcher.submit(self.now, info);
-                self.follow(commands)
+                self.apply_commands(commands)
             }
-            Step::End { which, how } => self.end_attempt(which, how),
-            Step::Pass { ms } => {
+            Event::End { index, outcome } => self.end_attempt(index, outcome),
+            Event::AdvanceTime { ms } => {
                 self.now += Duration::from_millis(u64::from(ms));
                 let commands = self.dispatcher.tick(self.now);
-                self.follow(commands)
+                self.apply_commands(commands)
             }
-            Step::Leave { executor } => {
+            Event::Leave { executor } => {
                 let id = format!("executor-{executor}");
-                if !self.switches.hides_leaving {
+                if !self.hidden.hides_leaving {
                     self.dispatcher.mark_leaving(&id);
                 }
                 self.leaving.insert(id);
                 Ok(())
             }
-            Step::List { executor } => self.list(executor),
-            Step::Cancel { which } => {
+            Event::List { executor } => self.list(executor),
+            Event::Cancel { index } => {
                 let waiting: Vec<u64> = self
                     .requests
                     .iter()
                     .filter(|(_, r)| !r.is_final && r.running_on.is_none())
                     .map(|(ticket, _)| *ticket)
                     .collect();
-                if let Some(ticket) = waiting.get(usize::from(which) % waiting.len().max(1)) {
+                if let Some(ticket) = waiting.get(usize::from(index) % waiting.len().max(1)) {
                     self.dispatcher.cancel(*ticket);
-                    let request = self.requests.get_mut(ticket).expect("it was listed");
+                    let request =
+                        self.requests.get_mut(ticket).expect("the ticket is of a known request");
                     request.is_cancelled = true;
                     request.is_final = true;
                 }
@@ -171,7 +175,7 @@
         }
     }
 
-    fn end_attempt(&mut self, which: u8, how: u8) -> Result<(), String> {
+    fn end_attempt(&mut self, index: u8, outcome: u8) -> Result<(), String> {
         let running: Vec<u64> = self
             .requests
             .iter()
@@ -181,10 +185,10 @@
         if running.is_empty() {
             return Ok(());
         }
-        let ticket = running[usize::from(which) % running.len()];
-        let request = self.requests.get_mut(&ticket).expect("it was listed");
-        let executor = request.running_on.take().expect("it runs");
-        let end = match how % 8 {
+        let ticket = running[usize::from(index) % running.len()];
+        let request = self.requests.get_mut(&ticket).expect("the ticket is of a known request");
+        let executor = request.running_on.take().expect("the request is running");
+        let end = match outcome % 8 {
             0 => AttemptOutcome::NotConnected,
             1 => AttemptOutcome::Declined { is_leaving: false },
             2 => AttemptOutcome::Failed,
@@ -193,16 +197,16 @@
         };
         request.may_have_run |= matches!(end, AttemptOutcome::Failed | AttemptOutcome::Lost);
         request.is_final = end == AttemptOutcome::Answered;
-        *self.in_flight.get_mut(&executor).expect("it was sent there") -= 1;
-        let told = match end {
-            AttemptOutcome::Lost if self.switches.hides_loss => AttemptOutcome::NotConnected,
+        *self.in_flight.get_mut(&executor).expect("the attempt was counted as in flight") -= 1;
+        let reported = match end {
+            AttemptOutcome::Lost if self.hidden.hides_loss => AttemptOutcome::NotConnected,
             end => end,
         };
-        let commands = self.dispatcher.finish_attempt(self.now, ticket, told);
-        self.follow(commands)
+        let commands = self.dispatcher.finish_attempt(self.now, ticket, reported);
+        self.apply_commands(commands)
     }
 
-    fn follow(&mut self, commands: Vec<Command>) -> Result<(), String> {
+    fn apply_commands(&mut self, commands: Vec<Command>) -> Result<(), String> {
         for command in commands {
             match command {
                 Command::Send { ticket, executor } => self.on_send(ticket, &executor)?,
@@ -237,7 +241,7 @@
         if *in_flight > SLOTS {
             return Err(format!("{executor} has {in_flight} requests in {SLOTS} slots"));
         }
-        if self.sends * 10 > self.arrived * 11 + RETRY_BURST * 10 {
+        if self.sends * 10 > self.arrived * 11 + RETRY_BUDGET_CAP * 10 {
             return Err(format!("{} attempts for {} requests", self.sends, self.arrived));
         }
         Ok(())
@@ -251,14 +255,14 @@
         Ok(())
     }
 
-    /// Everything ends: each request must have got its final answer.
+    /// Ends all attempts and checks that each request gets its final answer.
     fn drain(&mut self) -> Result<(), String> {
         for _ in 0..10_000 {
             let has_running = self.requests.values().any(|request| request.running_on.is_some());
             if has_running {
                 self.end_attempt(0, 7)?;
             } else {
-                self.step(Step::Pass { ms: 400 })?;
+                self.apply_event(Event::AdvanceTime { ms: 400 })?;
             }
             if self.requests.values().all(|request| request.is_final) {
                 return Ok(());
@@ -268,61 +272,61 @@
     }
 }
 
-fn check(steps: &[Step], switches: Switches) -> Result<(), String> {
-    let mut checker = Checker::new(switches);
-    steps.iter().try_for_each(|step| checker.step(*step))?;
+fn check(events: &[Event], hidden: HiddenFacts) -> Result<(), String> {
+    let mut checker = Checker::new(hidden);
+    events.iter().try_for_each(|event| checker.apply_event(*event))?;
     checker.drain()
 }
 
-fn histories() -> u64 {
+fn history_count() -> u64 {
     std::env::var("HISTORIES").ok().and_then(|text| text.parse().ok()).unwrap_or(500)
 }
 
 thread_local! {
-    static SWITCHES: std::cell::Cell<Switches> = const {
-        std::cell::Cell::new(Switches { hides_leaving: false, hides_idempotence: false, hides_loss: false })
+    static HIDDEN_FACTS: std::cell::Cell<HiddenFacts> = const {
+        std::cell::Cell::new(HiddenFacts { hides_leaving: false, hides_idempotence: false, hides_loss: false })
     };
 }
 
-fn holds(steps: Vec<Step>) -> TestResult {
-    match check(&steps, SWITCHES.with(std::cell::Cell::get)) {
+fn no_violation(events: Vec<Event>) -> TestResult {
+    match check(&events, HIDDEN_FACTS.with(std::cell::Cell::get)) {
         Ok(()) => TestResult::passed(),
         Err(text) => TestResult::error(text),
     }
 }
 
-fn first_violation(switches: Switches) -> Result<u64, String> {
-    SWITCHES.with(|cell| cell.set(switches));
-    let count = histories();
+fn first_violation(hidden: HiddenFacts) -> Result<u64, String> {
+    HIDDEN_FACTS.with(|cell| cell.set(hidden));
+    let count = history_count();
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(300, SEED))
         .tests(count)
-        .quicktest(holds as fn(Vec<Step>) -> TestResult)
+        .quicktest(no_violation as fn(Vec<Event>) -> TestResult)
         .map_err(|result| format!("{result:?}"))
 }
 
-fn must_notice(switches: Switches, expected: &str) {
-    let violation = first_violation(switches).expect_err("what is off goes unnoticed");
-    assert!(violation.contains(expected), "noticed another fault: {violation}");
+fn must_detect(hidden: HiddenFacts, expected: &str) {
+    let violation = first_violation(hidden).expect_err("the hidden fact causes no violation");
+    assert!(violation.contains(expected), "detected another violation: {violation}");
 }
 
 #[test]
-fn promises_hold() {
-    let result = first_violation(Switches::default());
+fn invariants_hold() {
+    let result = first_violation(HiddenFacts::default());
     assert!(result.is_ok(), "{}", result.unwrap_err());
 }
 
 #[test]
-fn leaving_off() {
-    must_notice(Switches { hides_leaving: true, ..Switches::default() }, "while leaving");
+fn hidden_leaving_detected() {
+    must_detect(HiddenFacts { hides_leaving: true, ..HiddenFacts::default() }, "while leaving");
 }
 
 #[test]
-fn idempotence_off() {
-    must_notice(Switches { hides_idempotence: true, ..Switches::default() }, "sent again");
+fn hidden_idempotence_detected() {
+    must_detect(HiddenFacts { hides_idempotence: true, ..HiddenFacts::default() }, "sent again");
 }
 
 #[test]
-fn loss_off() {
-    must_notice(Switches { hides_loss: true, ..Switches::default() }, "may have run");
+fn hidden_loss_detected() {
+    must_detect(HiddenFacts { hides_loss: true, ..HiddenFacts::default() }, "may have run");
 }
