--- a/crates/jackdawpier_coord/src/lib.rs
+++ b/crates/jackdawpier_coord/src/lib.rs
@@ -1,8 +1,7 @@
-//! Pure decisions on membership, shard ownership, durable cells and configuration.
+//! State machines for membership, shard ownership, durable cells and configuration.
 //!
-//! Everything agreed goes through the platform's store by compare-and-swap; these machines decide
-//! which calls to make and what their answers mean, and do no I/O themselves. See
-//! `docs/design/coordination.md`.
+//! Entries coordinate through compare-and-swap operations on the platform's store. The state
+//! machines do no I/O: they return the calls to make and take their results. See `docs/design/coordination.md`.
 
 pub mod cell;
 pub mod configuration;
--- a/crates/jackdawpier_coord/src/membership.rs
+++ b/crates/jackdawpier_coord/src/membership.rs
@@ -1,8 +1,8 @@
-//! This entry's membership: a lease, a member record under it, and the view of the others.
+//! Cluster membership of this entry: its lease, its member record, and its view of the members.
 //!
-//! The entry counts its own lease from the moment it *sent* the renewal and stops effects a margin
-//! before the store could let it lapse. What a pause between that check and an effect can do is
-//! bounded by the fences: see `docs/design/coordination.md`.
+//! The entry counts the lease from when it *sent* the renewal, and stops acting under it a margin
+//! before the store can expire it. The process may still pause between checking the lease and
+//! acting on it; fencing bounds the effects: see `docs/design/coordination.md`.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -19,14 +19,14 @@
     keys,
 };
 
-/// Renewals a lease's time to live.
+/// Number of lease renewals per time to live.
 const RENEWALS_PER_TTL: u32 = 3;
-/// Share of the time to live after which the holder stops relying on the lease.
+/// Percentage of the time to live after which the holder stops relying on the lease.
 const TRUSTED_PERCENT: u32 = 80;
-/// Wait before a failed call is repeated.
+/// Delay before a failed call is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What an entry tells the others about itself.
+/// Member record that an entry publishes.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Name of the entry.
@@ -35,18 +35,18 @@
     pub zone: ZoneName,
     /// Address of its peer port (UDP).
     pub peer_address: String,
-    /// Address of its operators' port.
+    /// Address of its operator port.
     pub operator_address: String,
-    /// Distinguishes two starts of the same entry.
+    /// Distinguishes restarts of the same entry.
     pub incarnation: u64,
-    /// Revision of each configuration document in force here.
+    /// Revision of each configuration document in force at the entry.
     pub in_force: BTreeMap<String, Revision>,
-    /// Whether it is in a planned stop and takes no more ownership.
+    /// Whether the entry is in a planned stop and claims no more shards.
     pub is_stopping: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Flight {
+enum InFlight {
     None,
     Grant,
     Renew,
@@ -54,12 +54,13 @@
     Revoke,
 }
 
-/// This entry's own lease and record.
+/// Maintains the lease and the member record of this entry.
 #[derive(Debug)]
 pub struct Membership {
     own: Member,
     ttl: Duration,
     lease: Option<LeaseId>,
+    /// When the latest grant or renewal was sent.
     sent_at: Now,
     trusted_until: Now,
     next_renewal_at: Now,
@@ -69,11 +70,11 @@
     is_member: bool,
     member_until: Now,
     is_revoked: bool,
-    flight: Flight,
+    in_flight: InFlight,
 }
 
 impl Membership {
-    /// Returns a membership that has not asked for its lease yet.
+    /// Creates a membership without a lease.
     pub fn new(own: Member, ttl: Duration) -> Self {
         Self {
             own,
@@ -88,35 +89,35 @@
             is_member: false,
             member_until: Now::ZERO,
             is_revoked: false,
-            flight: Flight::None,
+            in_flight: InFlight::None,
         }
     }
 
-    /// The lease to attach records to, while it can be relied on.
+    /// Returns the lease to attach records to, while it can be relied on.
     pub fn lease(&self, now: Now) -> Option<LeaseId> {
         self.lease.filter(|_| now < self.trusted_until)
     }
 
-    /// This entry's standing among the members of `view`.
+    /// Returns the membership status of this entry.
     ///
-    /// It counts as a member again only once the view includes its own record: whoever reports a
-    /// revision as in force from then on has to wait for this entry, and whatever was in force
-    /// before has been read.
+    /// The entry counts as a member only once `view` includes its own record. By then it has read all
+    /// revisions that were in force, and a later one is reported as in force only once this entry has
+    /// it too.
     pub fn status(&mut self, view: &View) -> MembershipStatus {
-        let has_seen_own = |revision| view.store_revision >= revision;
-        self.is_member |= self.published_revision.is_some_and(has_seen_own);
+        let includes_own_record = |revision| view.store_revision >= revision;
+        self.is_member |= self.published_revision.is_some_and(includes_own_record);
         if self.is_member && self.lease.is_some() {
             self.member_until = self.trusted_until;
         }
         MembershipStatus { entry: self.own.entry.clone(), member_until: self.member_until }
     }
 
-    /// What this entry tells the others.
+    /// Returns the member record of this entry.
     pub fn own_member(&self) -> &Member {
         &self.own
     }
 
-    /// Changes what this entry tells the others; the record follows with the next tick.
+    /// Changes the member record of this entry; a later tick publishes it.
     pub fn update_own_member(&mut self, change: impl FnOnce(&mut Member)) {
         let before = self.own.clone();
         change(&mut self.own);
@@ -125,56 +126,56 @@
         }
     }
 
-    /// Ends the membership at a planned stop, as the last call.
+    /// Ends the membership at a planned stop. No further calls are made after the returned one.
     pub fn revoke(&mut self) -> Option<Request> {
         self.is_revoked = true;
-        self.flight = Flight::Revoke;
+        self.in_flight = InFlight::Revoke;
         self.lease.take().map(|lease| Request::LeaseRevoke { lease })
     }
 
-    /// Returns the call that is due, if any; one is in flight at a time.
+    /// Returns the call that is due, if any. Only one call is in flight at a time.
     pub fn tick(&mut self, now: Now) -> Option<Request> {
-        if self.flight != Flight::None || now < self.retry_at || self.is_revoked {
+        if self.in_flight != InFlight::None || now < self.retry_at || self.is_revoked {
             return None;
         }
         if now >= self.trusted_until {
-            // Renewals may reach the store though their answers don't come back: going on with this
-            // lease would keep its shards from everyone else. Without renewals it lapses.
-            self.lose_lease();
+            // Renewals may still reach the store while their answers are lost. Renewing a lease that
+            // isn't relied on would block its shards, so it is abandoned and expires.
+            self.drop_lease();
         }
         let Some(lease) = self.lease else {
             return Some(self.start(
                 now,
-                Flight::Grant,
+                InFlight::Grant,
                 Request::LeaseGrant { ttl_ms: self.ttl_ms() },
             ));
         };
         if !self.is_published {
             let request = self.publish_request(lease);
             self.is_published = true;
-            return Some(self.start(now, Flight::Publish, request));
+            return Some(self.start(now, InFlight::Publish, request));
         }
         if now < self.next_renewal_at {
             return None;
         }
-        Some(self.start(now, Flight::Renew, Request::LeaseRenew { lease }))
+        Some(self.start(now, InFlight::Renew, Request::LeaseRenew { lease }))
     }
 
-    /// Takes the result of the call in flight.
+    /// Handles the result of the call in flight.
     pub fn on_result(&mut self, now: Now, result: &StoreResult) {
-        let flight = std::mem::replace(&mut self.flight, Flight::None);
-        match (flight, result) {
-            (Flight::Grant | Flight::Renew, Ok(Response::Lease { lease })) => {
+        let in_flight = std::mem::replace(&mut self.in_flight, InFlight::None);
+        match (in_flight, result) {
+            (InFlight::Grant | InFlight::Renew, Ok(Response::Lease { lease })) => {
                 self.lease = Some(*lease);
                 self.trusted_until = self.sent_at + self.ttl * TRUSTED_PERCENT / 100;
                 self.next_renewal_at = self.sent_at + self.ttl / RENEWALS_PER_TTL;
             }
-            (Flight::Publish, Ok(Response::Written { revision })) => {
+            (InFlight::Publish, Ok(Response::Written { revision })) => {
                 self.published_revision.get_or_insert(*revision);
             }
-            (Flight::Revoke, _) => {}
-            (_, Ok(Response::LeaseGone)) => self.lose_lease(),
-            (Flight::Publish, _) => {
+            (InFlight::Revoke, _) => {}
+            (_, Ok(Response::LeaseGone)) => self.drop_lease(),
+            (InFlight::Publish, _) => {
                 self.is_published = false;
                 self.retry_at = now + RETRY_INTERVAL;
             }
@@ -182,16 +183,16 @@
         }
     }
 
-    fn lose_lease(&mut self) {
+    fn drop_lease(&mut self) {
         self.lease = None;
         self.is_published = false;
         self.published_revision = None;
         self.is_member = false;
     }
 
-    fn start(&mut self, now: Now, flight: Flight, request: Request) -> Request {
-        self.flight = flight;
-        if flight != Flight::Publish {
+    fn start(&mut self, now: Now, in_flight: InFlight, request: Request) -> Request {
+        self.in_flight = in_flight;
+        if in_flight != InFlight::Publish {
             self.sent_at = now;
         }
         request
@@ -204,31 +205,31 @@
     fn publish_request(&self, lease: LeaseId) -> Request {
         Request::Put {
             key: keys::member(&self.own.entry),
-            value: serde_json::to_string(&self.own).expect("members are plain data"),
+            value: serde_json::to_string(&self.own).expect("member records serialize"),
             condition: Condition::Always,
             lease: Some(lease),
         }
     }
 }
 
-/// The members and shard owners, as last learned from the store.
+/// Members, shard owners and document revisions, as last read from the store.
 #[derive(Debug, Default, Clone)]
 pub struct View {
     members: BTreeMap<EntryId, Member>,
     owners: BTreeMap<String, Owner>,
     documents: BTreeMap<String, Revision>,
-    /// Rankings of the candidates by shard, made when first asked for after a change of members.
+    /// Cached candidate rankings by shard, cleared when the candidates change.
     rankings: BTreeMap<String, Arc<[EntryId]>>,
-    /// Revision up to which the view has seen.
+    /// Highest store revision included in the view.
     pub store_revision: Revision,
 }
 
-/// Who owns a shard, as stored under the owner's lease.
+/// Owner record of a shard, attached to the owner's lease.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Owner {
-    /// The owning entry.
+    /// Entry that owns the shard.
     pub entry: EntryId,
-    /// Its incarnation.
+    /// Incarnation of that entry.
     pub incarnation: u64,
     /// Revision of the owner record; zero inside the record itself.
     #[serde(default)]
@@ -236,17 +237,17 @@
 }
 
 impl View {
-    /// Forgets everything, before a whole reading.
+    /// Clears the view before a full read.
     pub fn reset(&mut self) {
         *self = Self::default();
     }
 
-    /// Takes one record of the members or shards.
+    /// Applies a member, owner or configuration record.
     pub fn apply_record(&mut self, record: &Record) {
         self.store_revision = self.store_revision.max(record.revision);
         if let Some(name) = record.key.strip_prefix(keys::MEMBERS) {
             if let Ok(member) = serde_json::from_str::<Member>(&record.value) {
-                self.note_candidate(name, &member);
+                self.invalidate_rankings(name, &member);
                 self.members.insert(name.into(), member);
             }
         } else if let Some(shard) = record.key.strip_prefix(keys::SHARDS)
@@ -261,13 +262,13 @@
         }
     }
 
-    /// Whether the view has seen `revision` of a document, and so every member that had joined by
-    /// the time it was accepted.
+    /// Whether the view includes `revision` of a document, and thus every member that had joined when
+    /// it was accepted.
     pub fn has_seen(&self, deployment: &str, revision: Revision) -> bool {
         self.documents.get(deployment).is_some_and(|seen| *seen >= revision)
     }
 
-    /// Takes one change that a watch reported.
+    /// Applies a change reported by a watch.
     pub fn apply_change(&mut self, change: &Change) {
         match change {
             Change::Put(record) => self.apply_record(record),
@@ -283,18 +284,19 @@
         }
     }
 
-    /// Only a change of who may own shards ends the rankings; reports of revisions do not.
-    fn note_candidate(&mut self, name: &str, member: &Member) {
-        let before = self.members.get(name).map(|known| known.is_stopping);
+    /// Clears the cached rankings if `member` is a new member or its candidacy changes. Other updates,
+    /// such as new document revisions, keep them.
+    fn invalidate_rankings(&mut self, name: &str, member: &Member) {
+        let before = self.members.get(name).map(|member| member.is_stopping);
         if before != Some(member.is_stopping) {
             self.rankings.clear();
         }
     }
 
-    /// The candidates from the most to the least preferred owner of `shard`.
+    /// Returns the candidates from the most to the least preferred owner of `shard`.
     pub fn ranking(&mut self, shard: &str) -> Arc<[EntryId]> {
-        if let Some(known) = self.rankings.get(shard) {
-            return Arc::clone(known);
+        if let Some(cached) = self.rankings.get(shard) {
+            return Arc::clone(cached);
         }
         let ranked: Arc<[EntryId]> =
             rendezvous::ranking(shard, self.candidates()).into_iter().map(EntryId::from).collect();
@@ -302,27 +304,27 @@
         ranked
     }
 
-    /// The members in the order of their names.
+    /// Returns the members, ordered by name.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// One member.
+    /// Returns a member by name.
     pub fn member(&self, entry: &str) -> Option<&Member> {
         self.members.get(entry)
     }
 
-    /// Names of the members that may own shards.
+    /// Returns the names of the members that may own shards.
     pub fn candidates(&self) -> impl Iterator<Item = &str> {
         self.members.values().filter(|member| !member.is_stopping).map(|member| &*member.entry)
     }
 
-    /// Owner of `shard`, if a live one is recorded.
+    /// Returns the recorded owner of `shard`.
     pub fn owner(&self, shard: &str) -> Option<&Owner> {
         self.owners.get(shard)
     }
 
-    /// All recorded owners by shard.
+    /// Returns all recorded owners by shard.
     pub fn owners(&self) -> impl Iterator<Item = (&str, &Owner)> {
         self.owners.iter().map(|(shard, owner)| (shard.as_str(), owner))
     }
--- a/crates/jackdawpier_coord/src/ownership.rs
+++ b/crates/jackdawpier_coord/src/ownership.rs
@@ -1,8 +1,8 @@
-//! Which shards this entry claims, keeps and gives up.
+//! Claims, keeps and releases shards.
 //!
-//! A shard's owner record lives under its owner's lease, so the store deletes it when the owner
-//! dies. The record decides who *tries*; what fences an owner that wrongly believes it still owns
-//! a shard is the shard's cell log ([`crate::cell`]).
+//! A shard's owner record is attached to the owner's lease, so the store deletes it when that lease
+//! expires. The record only decides which entry opens the shard's cell. An entry that wrongly
+//! believes that it still owns a shard is fenced by the log of that cell ([`crate::cell`]).
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -21,27 +21,27 @@
     membership::{Owner, View},
 };
 
-/// Time for which a member that ranks higher must live before a shard is handed to it.
+/// Time for which an owner must be outranked by another member before it releases a shard.
 const REBALANCE_DELAY: Duration = Duration::from_secs(5);
-/// Wait before a failed call is repeated.
+/// Delay before a failed call is retried.
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What ownership wants done.
+/// Action that [`Ownership`] requests from its caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// Make this call for the shard and give its result to [`Ownership::on_result`].
+    /// Make this call for the shard and pass its result to [`Ownership::on_result`].
     Call {
         /// The shard.
         shard: String,
         /// The call.
         request: Request,
     },
-    /// This entry owns the shard: open its cell.
+    /// Open the cell of the shard, which this entry now owns.
     Acquired {
         /// The shard.
         shard: String,
     },
-    /// Stop working on the shard, settle its cell and call [`Ownership::on_cell_settled`].
+    /// Stop serving the shard, settle its cell and call [`Ownership::on_cell_settled`].
     Release {
         /// The shard.
         shard: String,
@@ -59,49 +59,50 @@
 #[derive(Debug)]
 struct Shard {
     phase: Phase,
-    /// Revision of the owner record, once the claim took effect.
+    /// Revision of the owner record, once the shard is claimed.
     revision: Revision,
     in_flight: bool,
     retry_at: Now,
     outranked_since: Option<Now>,
 }
 
-/// The shards of this entry.
+/// Tracks the shards of this entry.
 #[derive(Debug)]
 pub struct Ownership {
     entry: EntryId,
     incarnation: u64,
-    names: BTreeSet<String>,
+    /// Names of all shards in the configuration in force.
+    shard_names: BTreeSet<String>,
     held: BTreeMap<String, Shard>,
-    /// The lease under which the records of `held` stand.
+    /// Lease that the owner records of `held` are attached to.
     lease: Option<LeaseId>,
     is_stopping: bool,
 }
 
 impl Ownership {
-    /// Returns an ownership without shards.
+    /// Creates an ownership without shards.
     pub fn new(entry: EntryId, incarnation: u64) -> Self {
         Self {
             entry,
             incarnation,
-            names: BTreeSet::new(),
+            shard_names: BTreeSet::new(),
             held: BTreeMap::new(),
             lease: None,
             is_stopping: false,
         }
     }
 
-    /// Sets the shards that exist, from the configuration in force.
+    /// Sets the names of all shards, from the configuration in force.
     pub fn set_shards(&mut self, names: BTreeSet<String>) {
-        self.names = names;
+        self.shard_names = names;
     }
 
-    /// Whether this entry owns `shard` and may work on it.
+    /// Whether this entry owns `shard` and may serve it.
     pub fn owns(&self, shard: &str) -> bool {
         self.held.get(shard).is_some_and(|held| held.phase == Phase::Owned)
     }
 
-    /// Shards that are being given up and whose cells may not be settled yet.
+    /// Returns the shards being released whose cells may not be settled yet.
     pub fn releasing_shards(&self) -> Vec<String> {
         let is_releasing = |held: &&Shard| held.phase == Phase::Releasing;
         self.held
@@ -111,59 +112,66 @@
             .collect()
     }
 
-    /// Whether nothing is held or being given up.
+    /// Whether no shard is claimed, owned or being released.
     pub fn is_empty(&self) -> bool {
         self.held.is_empty()
     }
 
-    /// Gives every shard up, at a planned stop.
+    /// Releases every shard from the next tick on, for a planned stop.
     pub fn stop(&mut self) {
         self.is_stopping = true;
     }
 
-    /// Drops a shard whose cell reported that another owner has taken over.
+    /// Drops a shard whose cell was fenced by another owner.
     pub fn on_fenced(&mut self, shard: &str) {
         self.held.remove(shard);
     }
 
-    /// Whether every record of this entry stands under `lease`, the one that can be relied on. If
-    /// not, they lapse with an earlier one, and [`Ownership::drop_all`] has to be called.
+    /// Whether all owner records of this entry are attached to `lease`, the member lease while it can
+    /// be relied on. If not, the records expire with an earlier lease, and the caller has to call
+    /// [`Ownership::drop_all`].
     pub fn is_backed_by(&self, lease: Option<LeaseId>) -> bool {
         self.held.is_empty() || lease.is_some() && self.lease == lease
     }
 
-    /// Drops every shard, when the member lease was lost.
+    /// Drops every shard after the member lease was lost, and returns their names.
     pub fn drop_all(&mut self) -> Vec<String> {
         std::mem::take(&mut self.held).into_keys().collect()
     }
 
-    /// Says that a released shard's cell is settled, so that its record can go.
+    /// Handles that the cell of a shard being released is settled; its owner record is then deleted.
     pub fn on_cell_settled(&mut self, shard: &str) {
         if let Some(held) = self.held.get_mut(shard) {
             held.phase = Phase::Deleting;
         }
     }
 
-    /// Decides on every shard. `lease` is the member lease while it can be relied on.
+    /// Returns the actions due for all shards. `lease` is the member lease while it can be relied on.
     pub fn tick(&mut self, now: Now, lease: Option<LeaseId>, view: &View) -> Vec<Output> {
         let Some(lease) = lease else { return Vec::new() };
         self.lease = Some(lease);
         let names: Vec<String> = self
-            .names
+            .shard_names
             .iter()
             .chain(self.held.keys())
             .cloned()
             .collect::<BTreeSet<_>>()
             .into_iter()
             .collect();
-        names.iter().filter_map(|name| self.decide(now, name, lease, view)).collect()
+        names.iter().filter_map(|name| self.advance_shard(now, name, lease, view)).collect()
     }
 
-    fn decide(&mut self, now: Now, name: &str, lease: LeaseId, view: &View) -> Option<Output> {
+    fn advance_shard(
+        &mut self,
+        now: Now,
+        name: &str,
+        lease: LeaseId,
+        view: &View,
+    ) -> Option<Output> {
         let preferred = rendezvous::owner(name, view.candidates());
         let is_preferred = preferred == Some(&*self.entry);
         let Some(held) = self.held.get_mut(name) else {
-            return self.consider_claim(now, name, lease, view, is_preferred);
+            return self.claim_or_delete(now, name, lease, view, is_preferred);
         };
         if held.in_flight || now < held.retry_at {
             return None;
@@ -171,14 +179,14 @@
         match held.phase {
             Phase::Claiming => Some(self.call(name, self.claim_request(name, lease, view))),
             Phase::Owned => {
-                let is_wanted = self.names.contains(name) && !self.is_stopping;
+                let should_keep = self.shard_names.contains(name) && !self.is_stopping;
                 let since = held.outranked_since.get_or_insert(now);
                 if is_preferred {
                     held.outranked_since = None;
-                } else if is_wanted && now < *since + REBALANCE_DELAY {
+                } else if should_keep && now < *since + REBALANCE_DELAY {
                     return None;
                 }
-                if is_preferred && is_wanted {
+                if is_preferred && should_keep {
                     return None;
                 }
                 held.phase = Phase::Releasing;
@@ -192,7 +200,8 @@
         }
     }
 
-    fn consider_claim(
+    /// Claims a shard that has no owner, or reclaims or deletes a stale record of this entry.
+    fn claim_or_delete(
         &mut self,
         now: Now,
         name: &str,
@@ -201,16 +210,16 @@
         is_preferred: bool,
     ) -> Option<Output> {
         let owner = view.owner(name);
-        let leftover = owner.filter(|owner| self.is_self(owner)).map(|owner| owner.revision);
+        let stale_revision = owner.filter(|owner| self.is_own(owner)).map(|owner| owner.revision);
         let is_claiming = is_preferred && !self.is_stopping;
-        if owner.is_some() && leftover.is_none() || leftover.is_none() && !is_claiming {
+        if owner.is_some() && stale_revision.is_none() || stale_revision.is_none() && !is_claiming {
             return None;
         }
-        // A record of this very process that it does not hold is left over from a claim that took
-        // effect late, or from a lease that could not be relied on for a while. It is claimed
-        // again, or deleted so that the preferred entry can have the shard.
+        // This process has an owner record for a shard that it doesn't hold. Such a stale record
+        // remains after a claim that took effect late, or after the lease couldn't be relied on for
+        // a while. It is claimed again, or deleted so that the preferred entry can own the shard.
         let phase = if is_claiming { Phase::Claiming } else { Phase::Deleting };
-        let revision = leftover.unwrap_or(0);
+        let revision = stale_revision.unwrap_or(0);
         let shard =
             Shard { phase, revision, in_flight: false, retry_at: now, outranked_since: None };
         self.held.insert(name.to_owned(), shard);
@@ -222,14 +231,14 @@
     }
 
     fn claim_request(&self, name: &str, lease: LeaseId, view: &View) -> Request {
-        let condition = match view.owner(name).filter(|owner| self.is_self(owner)) {
+        let condition = match view.owner(name).filter(|owner| self.is_own(owner)) {
             Some(owner) => Condition::Revision(owner.revision),
             None => Condition::Absent,
         };
         let owner = Owner { entry: self.entry.clone(), incarnation: self.incarnation, revision: 0 };
         Request::Put {
             key: keys::shard(name),
-            value: serde_json::to_string(&owner).expect("owners are plain data"),
+            value: serde_json::to_string(&owner).expect("owner records serialize"),
             condition,
             lease: Some(lease),
         }
@@ -242,19 +251,19 @@
         Output::Call { shard: name.to_owned(), request }
     }
 
-    fn is_self(&self, owner: &Owner) -> bool {
+    fn is_own(&self, owner: &Owner) -> bool {
         owner.entry == self.entry && owner.incarnation == self.incarnation
     }
 
-    /// Takes the result of the call in flight for `shard`.
+    /// Handles the result of the call in flight for `shard`.
     pub fn on_result(&mut self, now: Now, shard: &str, result: &StoreResult) -> Vec<Output> {
         let own_revision = match result {
             Ok(Response::Written { revision }) => Some(*revision),
-            // The answer to the first try was lost; the record shows that it took effect. One that
-            // stands under an earlier lease lapses with it, and is claimed again.
+            // The answer to an earlier try was lost, but its record shows that it took effect. A
+            // record attached to an earlier lease expires with it, and the shard is claimed again.
             Ok(Response::Conflict { current: Some(record) }) if record.lease == self.lease => {
                 let owner = serde_json::from_str::<Owner>(&record.value).ok();
-                owner.filter(|owner| self.is_self(owner)).map(|_| record.revision)
+                owner.filter(|owner| self.is_own(owner)).map(|_| record.revision)
             }
             _ => None,
         };
--- a/crates/jackdawpier_coord/src/page_size.rs
+++ b/crates/jackdawpier_coord/src/page_size.rs
@@ -1,30 +1,32 @@
-//! How many records to ask the store for at a time.
+//! Adaptive page size for range reads from the store.
 
-/// Records of the next page. Their lengths are known only once they have arrived, so a page that
-/// was lost is asked for again with half of them: it may be more than one answer carries.
+/// Number of records to request per page.
+///
+/// The size of the records isn't known in advance, so a lost page may have been larger than one
+/// answer can be. It is requested again with half as many records.
 #[derive(Debug, Clone, Copy)]
 pub struct PageSize {
     records: usize,
-    most: usize,
+    max_records: usize,
 }
 
 impl PageSize {
-    /// Returns a size that never exceeds `most` records.
-    pub fn new(most: usize) -> Self {
-        Self { records: most, most }
+    /// Creates a page size that starts at its maximum of `max_records`.
+    pub fn new(max_records: usize) -> Self {
+        Self { records: max_records, max_records }
     }
 
-    /// Records to ask for.
+    /// Returns the number of records to request.
     pub fn records(self) -> usize {
         self.records
     }
 
-    /// Notes that a page arrived, so that a little more may be asked for.
+    /// Increases the size by one record after a page was received.
     pub fn on_page_received(&mut self) {
-        self.records = (self.records + 1).min(self.most);
+        self.records = (self.records + 1).min(self.max_records);
     }
 
-    /// Notes that a page was lost; returns whether less can be asked for.
+    /// Halves the size after a page was lost. Returns false if it was already one record.
     pub fn on_page_lost(&mut self) -> bool {
         let can_shrink = self.records > 1;
         self.records = (self.records / 2).max(1);
--- a/crates/jackdawpier_coord/tests/large_pages.rs
+++ b/crates/jackdawpier_coord/tests/large_pages.rs
@@ -1,4 +1,4 @@
-//! A cell whose log has grown larger than one answer of the store can carry.
+//! Opening a cell whose log is larger than one answer of the store can be.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 
 const SEGMENTS: usize = 200;
 const STATE_BYTES: usize = 1_000;
-/// Holds some twenty segments.
+/// Room for about twenty segments.
 const MAX_ANSWER_BYTES: usize = 25_000;
 
-/// Answers as a store does whose longer answers never arrive whole.
+/// Calls the store, whose answers are lost if they are longer than `MAX_ANSWER_BYTES`.
 fn call(store: &mut StoreModel, request: &Request) -> StoreResult {
     let response = store.call(Now::ZERO, request);
     if let Response::Records { records, .. } = &response {
@@ -28,25 +28,27 @@
     Cell::new("orders", "a".into(), incarnation, Duration::ZERO)
 }
 
-/// Drives the cell until it asks for nothing more, or has made more calls than it can need.
+/// Runs the cell until it makes no more calls, and returns their number. Fails if there are far more
+/// than needed.
 fn drive(cell: &mut Cell<String>, store: &mut StoreModel, outputs: Vec<Output<String>>) -> usize {
     let (mut now, mut calls) = (Now::ZERO, 0);
-    let mut waiting = outputs;
-    while let Some(output) = waiting.pop() {
+    let mut pending = outputs;
+    while let Some(output) = pending.pop() {
         if let Output::Call(request) = output {
             calls += 1;
-            assert!(calls < 2 * SEGMENTS, "the cell asks on and on");
-            waiting.extend(cell.on_result(now, call(store, &request)));
+            assert!(calls < 2 * SEGMENTS, "the cell repeats its calls without end");
+            pending.extend(cell.on_result(now, call(store, &request)));
         }
         now += Duration::from_secs(1);
-        if waiting.is_empty() {
-            waiting.extend(cell.tick(now));
+        if pending.is_empty() {
+            pending.extend(cell.tick(now));
         }
     }
     calls
 }
 
-/// The same page was asked for again for ever, and the service's shard had no owner.
+/// Guards against requesting a page that is too long again and again, which left the shard without
+/// an owner.
 #[test]
 fn long_log() {
     let mut store = StoreModel::default();
@@ -54,7 +56,9 @@
     let outputs = writer.open(Now::ZERO);
     drive(&mut writer, &mut store, outputs);
     for number in 0..SEGMENTS {
-        writer.put(format!("j/{number}").into(), &"x".repeat(STATE_BYTES)).expect("it is open");
+        writer
+            .put(format!("j/{number}").into(), &"x".repeat(STATE_BYTES))
+            .expect("the cell is open");
         let outputs = writer.tick(Now::ZERO);
         drive(&mut writer, &mut store, outputs);
     }
--- a/crates/jackdawpier_coord/tests/readiness.rs
+++ b/crates/jackdawpier_coord/tests/readiness.rs
@@ -1,4 +1,4 @@
-//! When an entry that has just started may say that it serves.
+//! Readiness of an entry that has just started.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 const ISOLATION_LIMIT: Duration = Duration::from_secs(2);
 const STARTED_AT: Now = Duration::from_millis(100);
 
-fn record_of_member(name: &str) -> Record {
+fn member_record(name: &str) -> Record {
     let member = Member {
         entry: name.into(),
         zone: "riga-1".into(),
@@ -24,14 +24,14 @@
         in_force: [("test".to_owned(), 1)].into(),
         is_stopping: false,
     };
-    let value = serde_json::to_string(&member).expect("it is plain data");
+    let value = serde_json::to_string(&member).expect("member records serialize");
     Record { key: keys::member(name), value, revision: 1, lease: None }
 }
 
-/// An entry that has read the store, in which `members` are recorded.
-fn read_by_newcomer(members: &[&str]) -> Configuration {
+/// Returns the configuration of an entry that has just read the store, which contains `members`.
+fn newly_read_configuration(members: &[&str]) -> Configuration {
     let mut view = View::default();
-    members.iter().for_each(|name| view.apply_record(&record_of_member(name)));
+    members.iter().for_each(|name| view.apply_record(&member_record(name)));
     let mut configuration = Configuration::new(ISOLATION_LIMIT);
     let declaration = Declaration {
         deployment: "test".to_owned(),
@@ -44,34 +44,34 @@
     configuration
 }
 
-fn standing(member_until: Now) -> MembershipStatus {
+fn status(member_until: Now) -> MembershipStatus {
     MembershipStatus { entry: "b".into(), member_until }
 }
 
-/// The store names a member that nobody has heard: its word may be newer than the store's, so its
-/// documents are waited for, from the very reading that named it.
+/// Guards against reporting readiness before another member has sent its documents, which may be
+/// newer than the store's. The entry waits for them from the read that returned the member.
 #[test]
-fn unheard_member() {
-    let mut configuration = read_by_newcomer(&["a"]);
-    let member = standing(Duration::from_secs(8));
+fn waits_for_member() {
+    let mut configuration = newly_read_configuration(&["a"]);
+    let member = status(Duration::from_secs(8));
     assert!(!configuration.is_ready(STARTED_AT, &member));
     assert!(configuration.is_ready(STARTED_AT + ISOLATION_LIMIT, &member));
 }
 
-/// The store answers, so it isn't out: an entry without a lease waits for it and doesn't say that it
-/// serves, only to refuse the next request.
+/// Guards against reporting readiness without a lease while the store answers: the entry would then
+/// refuse the next request.
 #[test]
-fn store_answers() {
-    let mut configuration = read_by_newcomer(&[]);
-    assert!(!configuration.is_ready(STARTED_AT, &standing(Now::ZERO)));
-    assert!(configuration.is_ready(STARTED_AT, &standing(Duration::from_secs(8))));
+fn waits_for_lease() {
+    let mut configuration = newly_read_configuration(&[]);
+    assert!(!configuration.is_ready(STARTED_AT, &status(Now::ZERO)));
+    assert!(configuration.is_ready(STARTED_AT, &status(Duration::from_secs(8))));
 }
 
-/// A lease that runs out while the store is silent ends no service.
+/// Guards against losing readiness if the lease expires during a store outage.
 #[test]
-fn store_out() {
-    let mut configuration = read_by_newcomer(&[]);
+fn store_outage() {
+    let mut configuration = newly_read_configuration(&[]);
     let member_until = Duration::from_secs(8);
-    assert!(configuration.is_ready(STARTED_AT, &standing(member_until)));
-    assert!(configuration.is_ready(Duration::from_secs(20), &standing(member_until)));
+    assert!(configuration.is_ready(STARTED_AT, &status(member_until)));
+    assert!(configuration.is_ready(Duration::from_secs(20), &status(member_until)));
 }
--- a/crates/jackdawpier_coord/tests/segment_size.rs
+++ b/crates/jackdawpier_coord/tests/segment_size.rs
@@ -1,4 +1,4 @@
-//! How much of what waits goes into one record of the store.
+//! Size of the segments that a cell writes.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -7,7 +7,7 @@
 use jackdawpier_standin::store_model::StoreModel;
 use jackdawpier_store::{Request, protocol::MAX_VALUE_BYTES};
 
-/// Carries out what the cell asks for, and returns the length of the largest value written.
+/// Executes the cell's calls and returns the length of the largest value written.
 fn settle(cell: &mut Cell<String>, store: &mut StoreModel, outputs: Vec<Output<String>>) -> usize {
     let mut largest = 0;
     let mut outputs = VecDeque::from(outputs);
@@ -22,7 +22,8 @@
     largest
 }
 
-/// Quotes take twice their room in a state and four times in a segment, which nobody had counted.
+/// Guards against computing a segment's size without escaping: a quote takes two bytes in a state and
+/// four in a segment.
 #[test]
 fn escaped_states() {
     let mut store = StoreModel::default();
--- a/crates/jackdawpier_jobs/src/size_estimator.rs
+++ b/crates/jackdawpier_jobs/src/size_estimator.rs
@@ -56,7 +56,7 @@
     report_count: u64,
 }
 
-/// TaskResources estimates by class and customer.
+/// Size estimates by class and customer.
 #[derive(Debug, Default)]
 pub struct SizeEstimator {
     by_class_and_customer: HashMap<(ClassName, CustomerName), SizeRatios>,
