--- a/crates/jackdawpier_coord/src/membership.rs
+++ b/crates/jackdawpier_coord/src/membership.rs
@@ -287,7 +287,7 @@
     /// Clears the cached rankings if `member` is a new member or its candidacy changes. Other updates,
     /// such as new document revisions, keep them.
     fn invalidate_rankings(&mut self, name: &str, member: &Member) {
-        let before = self.members.get(name).map(|member| member.is_stopping);
+        let before = self.members.get(name).map(|existing| existing.is_stopping);
         if before != Some(member.is_stopping) {
             self.rankings.clear();
         }
--- a/crates/jackdawpier_jobs/src/failures.rs
+++ b/crates/jackdawpier_jobs/src/failures.rs
@@ -29,7 +29,7 @@
 const MAX_QUARANTINE: Duration = Duration::from_secs(3600);
 
 #[derive(Debug, Default)]
-struct WorkerRecord {
+struct WorkerFailures {
     consecutive_failed_jobs: BTreeSet<JobId>,
     quarantined_until: Option<Now>,
     last_quarantine: Option<Duration>,
@@ -47,7 +47,7 @@
 /// Tracks failures of jobs and workers.
 #[derive(Debug, Default)]
 pub struct FailureTracker {
-    workers: HashMap<WorkerId, WorkerRecord>,
+    workers: HashMap<WorkerId, WorkerFailures>,
     placements_by_job: HashMap<JobId, Vec<FailedPlacement>>,
 }
 
--- a/crates/jackdawpier_jobs/src/queue/tasks.rs
+++ b/crates/jackdawpier_jobs/src/queue/tasks.rs
@@ -176,8 +176,8 @@
         same_worker.into_iter().flatten().any(|other| self.jobs[other].started_at >= min_started_at)
     }
 
-    /// Whether placing `id` on `worker` would start it together with another job, one of which has
-    /// failures on record. If the worker is lost, the loss couldn't be attributed to either of them.
+    /// Whether placing `id` on `worker` would start it together with another job while one of the two
+    /// has failures on record. If the worker is lost, the loss couldn't be attributed to either.
     pub(super) fn would_obscure_failure_cause(&self, now: Now, id: &JobId, worker: &str) -> bool {
         let is_suspect = |id: &JobId| self.failures.failed_workers(id).next().is_some();
         let is_recent_start = |other: &&JobId| {
--- a/crates/jackdawpier_jobs/src/size_estimator.rs
+++ b/crates/jackdawpier_jobs/src/size_estimator.rs
@@ -90,8 +90,8 @@
         ratios.report_count += 1;
     }
 
-    /// Returns the size to reserve for a task: the declared size until there is a report, since a
-    /// task that runs out of memory kills the other tasks on its worker.
+    /// Returns the size to reserve for a task. Until there is a report, this is the declared size,
+    /// since a task that runs out of memory kills the other tasks on its worker.
     pub fn estimate(
         &self,
         class: &ClassName,
