--- a/crates/jackdawpier_kernel/src/budget.rs
+++ b/crates/jackdawpier_kernel/src/budget.rs
@@ -1,9 +1,9 @@
-//! Token bucket filled by events rather than by time, so that it bounds a ratio.
+//! Token bucket that is filled by events instead of time, so it bounds a ratio.
 //!
-//! Retries are allowed as a share of the traffic: a budget by time would let retries multiply
-//! exactly when traffic drops because everything fails. See `docs/design/retries.md`.
+//! It limits retries to a share of the traffic. A bucket filled by time would allow a higher share
+//! of retries exactly when traffic drops because requests fail. See `docs/design/retries.md`.
 
-/// Share-of-traffic budget, in thousandths of a token.
+/// Token bucket filled by a fixed amount per event; all amounts are in thousandths of a token.
 #[derive(Debug, Clone)]
 pub struct ShareBudget {
     deposit_permille: u32,
@@ -14,9 +14,9 @@
 impl ShareBudget {
     const TOKEN_PERMILLE: u32 = 1000;
 
-    /// Returns a budget that earns `share_permille` thousandths of a token an event and holds at
-    /// most `cap` whole tokens. It starts full, so that the first requests after a start can be
-    /// retried too; the whole is bounded by the share of the events and `cap`.
+    /// Returns a budget that gains `share_permille` thousandths of a token per event and holds at
+    /// most `cap` whole tokens. It starts full, so the first requests after a start can be retried
+    /// too. The total number of withdrawals is at most `cap` plus the share of the events.
     pub fn new(share_permille: u32, cap: u32) -> Self {
         Self {
             deposit_permille: share_permille,
@@ -25,12 +25,12 @@
         }
     }
 
-    /// Counts one ordinary event.
+    /// Adds the share of one event.
     pub fn deposit(&mut self) {
         self.level = (self.level + self.deposit_permille).min(self.cap);
     }
 
-    /// Takes one token, or returns false when the budget is spent.
+    /// Withdraws one token; returns false if there is none.
     #[must_use]
     pub fn try_withdraw(&mut self) -> bool {
         if self.level < Self::TOKEN_PERMILLE {
--- a/crates/jackdawpier_kernel/src/diagnostic.rs
+++ b/crates/jackdawpier_kernel/src/diagnostic.rs
@@ -4,7 +4,7 @@
 
 use serde::Serialize;
 
-/// Position in a settings or declaration file, counted from one; zero means "not known".
+/// Position in a settings or declaration file, counted from one; zero means unknown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Default)]
 pub struct Position {
     /// Line, from one.
@@ -13,20 +13,20 @@
     pub column: u64,
 }
 
-/// One finding about a file that a person wrote.
+/// A problem found in a settings or declaration file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Diagnostic {
     /// Stable code such as `JP101`, documented in `docs/SETTINGS.md`.
     pub code: &'static str,
-    /// File as the person named it.
+    /// Path of the file as given by the user.
     pub file: String,
-    /// Where in the file.
+    /// Position in the file.
     pub position: Position,
-    /// The field, dotted from the root; empty when the whole file is meant.
+    /// Dotted path of the field; empty if the diagnostic concerns the whole file.
     pub field: String,
-    /// What is wrong.
+    /// Description of the problem.
     pub message: String,
-    /// What would be right.
+    /// Suggested fix.
     pub suggestion: String,
 }
 
--- a/crates/jackdawpier_kernel/src/instance.rs
+++ b/crates/jackdawpier_kernel/src/instance.rs
@@ -1,14 +1,14 @@
-//! The platform's instance list, as its published protocol gives it.
+//! Types of the platform's published protocol for the instance list and orders.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{PoolName, RackName, ServiceName, ZoneName};
 
-/// What an instance does.
+/// Role of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceRole {
-    /// Answers requests over HTTP, in slots.
+    /// Answers HTTP requests, a limited number at once.
     Executor,
     /// Runs tasks under leases.
     Worker,
@@ -18,9 +18,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum InstanceState {
-    /// It does.
+    /// Accepts new work.
     Live,
-    /// It finishes what it has.
+    /// Finishes its work and accepts no more.
     Leaving,
 }
 
@@ -29,11 +29,11 @@
 pub struct Instance {
     /// Id, unique in the fleet.
     pub id: std::sync::Arc<str>,
-    /// What it does.
+    /// Role of the instance.
     pub role: InstanceRole,
-    /// Service that it serves.
+    /// Service to which it belongs.
     pub service: ServiceName,
-    /// Pool that it stands in.
+    /// Pool to which it belongs.
     pub pool: PoolName,
     /// Address as IP:PORT.
     pub address: String,
@@ -43,13 +43,13 @@
     pub rack: RackName,
     /// Whether it takes new work.
     pub state: InstanceState,
-    /// Order of the last maintenance or pool change that the platform has carried out.
+    /// Id of the last order that the platform has carried out on the instance.
     #[serde(default)]
     pub last_order: String,
-    /// Requests that an executor runs at once.
+    /// Maximum number of requests that an executor runs at once.
     #[serde(default)]
     pub slots: u32,
-    /// Connections that an executor takes.
+    /// Maximum number of connections that an executor accepts.
     #[serde(default)]
     pub connections: u32,
     /// Processor cores of a worker.
@@ -63,7 +63,7 @@
     pub accelerators: u32,
 }
 
-/// The whole list.
+/// The whole instance list.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceList {
     /// The instances, in no particular order.
@@ -73,19 +73,19 @@
 /// Pool of the instances that no class uses.
 pub const FREE_POOL: &str = "free";
 
-/// What the platform does with an instance: `POST /v1/orders`. The id makes it idempotent: an
-/// order that was carried out, or is under way, is not carried out again.
+/// Order to the platform about an instance: `POST /v1/orders`. The id makes it idempotent: an order
+/// that has been carried out or is in progress isn't carried out again.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// Identity of the order.
+    /// Id of the order.
     pub id: String,
     /// The instance.
     pub instance: std::sync::Arc<str>,
-    /// What to do.
+    /// Action to carry out.
     pub action: OrderAction,
 }
 
-/// What can be ordered.
+/// Action of an [`Order`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderAction {
@@ -95,8 +95,8 @@
     MoveTo(PoolName),
 }
 
-/// Path of the orders at the platform.
+/// Path of the orders in the platform's API.
 pub const ORDERS_PATH: &str = "/v1/orders";
 
-/// Path of the list at the platform.
+/// Path of the instance list in the platform's API.
 pub const INSTANCES_PATH: &str = "/v1/instances";
--- a/crates/jackdawpier_kernel/src/lib.rs
+++ b/crates/jackdawpier_kernel/src/lib.rs
@@ -1,7 +1,7 @@
-//! Shared ids, outcomes, diagnostics, hashing and the plug-in registry.
+//! Shared ids, outcomes, diagnostics, hashing, protocols and the registry of roles.
 //!
-//! The decision crates depend on this crate alone, so it holds no I/O and no clock: virtual time
-//! is a [`std::time::Duration`] since an arbitrary start, which the drivers supply.
+//! The decision crates depend on it, so it contains no I/O and reads no clock: time is a
+//! [`std::time::Duration`] since an arbitrary start, supplied by the drivers.
 //! See `docs/ARCHITECTURE.md` for how the crates fit together.
 
 pub mod budget;
@@ -16,7 +16,8 @@
 pub mod task;
 pub mod trace;
 
-/// Time since the start of the process (or of the test), as given to every decision.
+/// Time since the start of the process or of the test.
 ///
-/// Decisions never read a clock, so a test can replay any interleaving of time and events.
+/// Decisions take it as an argument and never read a clock, so a test can replay any interleaving
+/// of time and events.
 pub type Now = std::time::Duration;
--- a/crates/jackdawpier_kernel/src/outcome.rs
+++ b/crates/jackdawpier_kernel/src/outcome.rs
@@ -1,6 +1,6 @@
-//! What became of a request, as a value that every layer passes on unchanged.
+//! Outcome of a request, passed on unchanged by every layer.
 //!
-//! The four outcomes are kept apart because callers act on them differently: see
+//! The four outcomes are distinct because callers handle them differently: see
 //! `docs/operators/outcomes.md`.
 
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
 
-/// Why a request was refused before any byte of it could reach a back end.
+/// Reason why a request was refused without having run.
 #[derive(Debug, Display, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalReason {
@@ -36,28 +36,28 @@
     /// The request names a class that no declaration has.
     #[display("unknown_class")]
     UnknownClass,
-    /// The request itself is malformed.
+    /// The request is malformed.
     #[display("bad_request")]
     BadRequest,
-    /// No record of the store could hold the job.
+    /// The job is too large for a record of the store.
     #[display("too_large")]
     TooLarge,
 }
 
-/// A whole answer of a back end.
+/// Complete answer of an executor.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Answer {
-    /// HTTP status of the back end.
+    /// HTTP status of the answer.
     pub status: u16,
     /// Content type of the body.
     pub content_type: String,
-    /// The whole body; its length was checked before this value was made.
+    /// Complete body; its length has already been checked.
     #[serde(with = "base64_body")]
     pub body: Vec<u8>,
 }
 
-/// Bodies in text formats (the store's records) are base64 and not lists of numbers, which take
-/// four times the room; in binary formats (between entries) they are plain bytes.
+/// Encodes a body as base64 in text formats (store records), since a list of numbers takes four
+/// times the space, and as plain bytes in binary formats (messages between entries).
 mod base64_body {
     use base64::{Engine, engine::general_purpose::STANDARD};
     use serde::{Deserialize, Deserializer, Serialize, Serializer, de::Error};
@@ -82,32 +82,32 @@
     }
 }
 
-/// The final state of a request, told to its caller at once.
+/// Final outcome of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// The back end answered and the answer is whole.
+    /// The executor answered and the answer is complete.
     Answered(Answer),
-    /// The request did not run: no byte that could start it was sent, or the executor said so.
+    /// The request did not run: it was not sent, or the executor reported that it did not run it.
     NotRun {
-        /// Why it was refused.
+        /// Reason for the refusal.
         reason: RefusalReason,
-        /// When the caller may come back, computed from the queue.
+        /// Time after which the caller may retry, computed from the queue.
         retry_after: Duration,
     },
-    /// The executor ran the request and it failed for certain.
+    /// The executor ran the request, and it certainly failed.
     Failed {
-        /// What the executor reported.
+        /// Failure as reported by the executor.
         detail: String,
     },
     /// The request may or may not have run.
     Unknown {
-        /// What was lost.
+        /// What was lost, such as the connection.
         detail: String,
     },
 }
 
 impl Outcome {
-    /// Stable lower-case name of the outcome, for metrics, logs and the response header.
+    /// Returns the stable lower-case name of the outcome for metrics, logs and the response header.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Answered(_) => "answered",
--- a/crates/jackdawpier_kernel/src/plugin.rs
+++ b/crates/jackdawpier_kernel/src/plugin.rs
@@ -1,9 +1,9 @@
-//! The registry in which the daemon's roles announce themselves at link time.
+//! Link-time registry of the daemon's roles.
 //!
-//! A role is described by data and plain functions, resolved once at start-up; nothing on the
-//! request path goes through this registry. `CONTRIBUTING.md` tells how to add one.
+//! The registry is read once at start-up and isn't used on the request path. `CONTRIBUTING.md`
+//! describes how to add a role.
 
-/// What a role of the daemon declares about itself.
+/// Description of a role of the daemon.
 #[derive(Debug)]
 pub struct Plugin {
     /// Stable name of the role, as shown by `jackdawpier status`.
@@ -12,14 +12,14 @@
     pub purpose: &'static str,
     /// Prefixes of the store keys that only this role writes.
     pub store_key_prefixes: &'static [&'static str],
-    /// Metrics that only this role exports, as (name, unit and meaning).
+    /// Metrics that only this role exports.
     pub metrics: &'static [MetricDoc],
 }
 
 /// Documentation of one metric.
 #[derive(Debug)]
 pub struct MetricDoc {
-    /// Name as scraped.
+    /// Name of the metric as exported.
     pub name: &'static str,
     /// Meaning, with the unit.
     pub help: &'static str,
@@ -27,38 +27,38 @@
 
 inventory::collect!(Plugin);
 
-/// A store prefix or a metric that two roles claim; the daemon refuses to start with one.
+/// A store key prefix or metric that two roles declare; it prevents the daemon from starting.
 #[derive(Debug, PartialEq, Eq)]
 pub struct NameConflict {
-    /// The contested prefix or metric.
+    /// The prefix or metric.
     pub subject: &'static str,
-    /// The two roles.
+    /// Names of the two roles.
     pub roles: (&'static str, &'static str),
 }
 
-/// Returns the registered roles in the order of their names, which linking does not change.
+/// Returns the registered roles sorted by name, so that the order doesn't depend on linking.
 pub fn plugins() -> Vec<&'static Plugin> {
     let mut all: Vec<_> = inventory::iter::<Plugin>.into_iter().collect();
     all.sort_by_key(|plugin| plugin.name);
     all
 }
 
-/// Returns every store prefix or metric that more than one of `plugins` claims.
+/// Returns a conflict for each pair of `plugins` that declare the same store key prefix or metric.
 pub fn name_conflicts(plugins: &[&'static Plugin]) -> Vec<NameConflict> {
-    let claims: Vec<(&'static str, &'static str)> = plugins
+    let declared_names: Vec<(&'static str, &'static str)> = plugins
         .iter()
         .flat_map(|plugin| {
             let metrics = plugin.metrics.iter().map(|metric| metric.name);
             plugin.store_key_prefixes.iter().copied().chain(metrics).map(|s| (s, plugin.name))
         })
         .collect();
-    let mut found = Vec::new();
-    for (index, (subject, role)) in claims.iter().enumerate() {
-        for (other, other_role) in &claims[index + 1..] {
+    let mut conflicts = Vec::new();
+    for (index, (subject, role)) in declared_names.iter().enumerate() {
+        for (other, other_role) in &declared_names[index + 1..] {
             if subject == other {
-                found.push(NameConflict { subject, roles: (role, other_role) });
+                conflicts.push(NameConflict { subject, roles: (role, other_role) });
             }
         }
     }
-    found
+    conflicts
 }
--- a/crates/jackdawpier_kernel/src/task.rs
+++ b/crates/jackdawpier_kernel/src/task.rs
@@ -1,10 +1,10 @@
-//! The workers' published protocol: tasks under leases, over HTTP with JSON.
+//! Types of the workers' published protocol: tasks with leases, over HTTP with JSON.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{ClassName, CustomerName, JobId};
 
-/// Path of the tasks at a worker.
+/// Path of the tasks in a worker's API.
 pub const TASKS_PATH: &str = "/v1/tasks";
 
 /// Resources that a task declares or uses.
@@ -32,34 +32,34 @@
     pub customer: CustomerName,
     /// Declared size.
     pub size: TaskResources,
-    /// Time without renewal after which the worker stops the task by itself.
+    /// Lease in milliseconds; without a renewal for this long, the worker stops the task.
     pub lease_ms: u64,
-    /// What to do.
+    /// Payload of the job, passed to the task.
     pub payload: String,
 }
 
-/// How a task stands: `GET /v1/tasks`, or the answer to a start.
+/// Status of a task: `GET /v1/tasks`, or the answer to a start.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskReport {
     /// The job.
     pub job: JobId,
     /// Number of the attempt.
     pub attempt: u32,
-    /// How it stands.
+    /// State of the task.
     pub state: TaskState,
-    /// Usage as last measured, which lags.
+    /// Last measured usage, which lags behind.
     pub usage: TaskResources,
-    /// Time that it has run, in milliseconds.
+    /// Run time in milliseconds.
     pub ran_ms: u64,
 }
 
-/// States of a task at its worker.
+/// State of a task at its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskState {
-    /// It runs.
+    /// It is running.
     Running,
-    /// It finished well.
+    /// It finished successfully.
     Done,
     /// It failed.
     Failed,
@@ -67,18 +67,18 @@
     Stopped,
 }
 
-/// A request about a running task: `POST /v1/tasks/renew` and the like.
+/// Command for a running task: `POST /v1/tasks/command`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskCommand {
     /// The job.
     pub job: JobId,
     /// Number of the attempt.
     pub attempt: u32,
-    /// What to do.
+    /// Action to carry out.
     pub action: TaskAction,
 }
 
-/// What can be asked of a running task.
+/// Action of a [`TaskCommand`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskAction {
@@ -86,8 +86,8 @@
     Renew,
     /// Write a checkpoint.
     Checkpoint,
-    /// Use less of the processor.
+    /// Use less CPU.
     Throttle,
-    /// Stop for good.
+    /// Stop the task for good.
     Stop,
 }
--- a/crates/jackdawpier_kernel/src/trace.rs
+++ b/crates/jackdawpier_kernel/src/trace.rs
@@ -1,4 +1,4 @@
-//! W3C trace context, so that each hop's span hangs under the caller's.
+//! W3C trace context, which makes each hop's span a child of the caller's span.
 
 use std::fmt;
 
@@ -21,8 +21,8 @@
 }
 
 impl TraceContext {
-    /// Parses a `traceparent` value; anything that the W3C text calls invalid gives `None`, and
-    /// the receiver then starts a trace of its own.
+    /// Parses a `traceparent` value. Returns `None` for a value that the W3C specification calls
+    /// invalid; the receiver then starts a new trace.
     pub fn parse(value: &str) -> Option<Self> {
         let mut parts = value.trim().split('-');
         if parts.next()? != VERSION {
--- a/crates/jackdawpier_route/tests/limits.rs
+++ b/crates/jackdawpier_route/tests/limits.rs
@@ -284,7 +284,11 @@
 
 thread_local! {
     static HIDDEN_FACTS: std::cell::Cell<HiddenFacts> = const {
-        std::cell::Cell::new(HiddenFacts { hides_leaving: false, hides_idempotence: false, hides_loss: false })
+        std::cell::Cell::new(HiddenFacts {
+            hides_leaving: false,
+            hides_idempotence: false,
+            hides_loss: false,
+        })
     };
 }
 
