--- a/crates/jackdawpier_fleet/src/account.rs
+++ b/crates/jackdawpier_fleet/src/account.rs
@@ -1,7 +1,8 @@
-//! Client accounts: what each may have running at once, and what it has.
+//! Client accounts: the resource cap and the current usage of each.
 //!
-//! The cap is a promise to all other accounts, so whatever may be running counts: placements whose order
-//! hasn't left, orders without an answer, runs that are being stopped. See `docs/design/accounts.md`.
+//! The cap protects all other accounts, so usage includes everything that may be running: placements whose
+//! order hasn't been sent, orders without an answer, runs that are being stopped. See
+//! `docs/design/accounts.md`.
 
 use std::collections::BTreeMap;
 
@@ -9,55 +10,55 @@
 
 use crate::spec::Resources;
 
-/// The most that an account may have running over all executors.
+/// Maximum resources that an account may use at once over all executors.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Cap {
-    /// Processor, in thousandths of a core; none for no limit.
+    /// CPU, in thousandths of a core; `None` for no limit.
     pub cpu_millicores: Option<u64>,
-    /// Memory in megabytes; none for no limit.
+    /// Memory in megabytes; `None` for no limit.
     pub memory_mb: Option<u64>,
-    /// Accelerators; none for no limit.
+    /// Accelerators; `None` for no limit.
     pub gpus: Option<u64>,
 }
 
 impl Cap {
-    /// Whether this much may be running.
+    /// Returns whether `amount` is within the cap.
     pub fn covers(&self, amount: &Resources) -> bool {
-        let is_within = |most: Option<u64>, amount: u64| most.is_none_or(|most| amount <= most);
+        let is_within = |limit: Option<u64>, amount: u64| limit.is_none_or(|limit| amount <= limit);
         is_within(self.cpu_millicores, amount.cpu_millicores)
             && is_within(self.memory_mb, amount.memory_mb)
             && is_within(self.gpus, amount.gpus)
     }
 }
 
-/// The settings of a client account that decisions need.
+/// Settings of a client account.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Account {
-    /// Its name.
+    /// Name of the account.
     pub name: AccountName,
-    /// Its share when all is full: jobs a second that it may expect to be served in time.
+    /// Share under overload: jobs per second that the account may expect to be served in time.
     pub weight: f64,
-    /// What it may have running.
+    /// Maximum resources in use at once.
     pub cap: Cap,
 }
 
-/// What each account may have running and has.
+/// Tracks the cap and the usage of each account.
 #[derive(Debug, Default)]
 pub(crate) struct Accounts {
     settings: BTreeMap<AccountName, Account>,
     used: BTreeMap<AccountName, Resources>,
-    /// What is counted for a time only, since nobody will say when it has ended.
+    /// Usage that is counted until a fixed time, since the end of its run won't be reported.
     expiring: Vec<(Now, AccountName, Resources)>,
 }
 
 impl Accounts {
-    /// Takes over the configuration. Accounts that are gone keep their last settings for the jobs that
-    /// they handed in.
+    /// Applies the configuration. Removed accounts keep their last settings for the jobs that they have
+    /// already submitted.
     pub(crate) fn configure(&mut self, accounts: Vec<Account>) {
-        self.settings.extend(accounts.into_iter().map(|one| (one.name.clone(), one)));
+        self.settings.extend(accounts.into_iter().map(|account| (account.name.clone(), account)));
     }
 
-    /// Notes that a run may begin.
+    /// Adds the resources of a run that may start.
     pub(crate) fn add_usage(&mut self, account: Option<&AccountName>, need: &Resources) {
         let Some(account) = account else { return };
         if let Some(used) = self.used.get_mut(account) {
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Notes that a run has certainly ended.
+    /// Subtracts the resources of a run that has certainly ended.
     pub(crate) fn subtract_usage(&mut self, account: Option<&AccountName>, need: &Resources) {
         let used = account.and_then(|account| self.used.get_mut(account));
         if let Some(used) = used {
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Notes that a run of which no end will be heard may go on until `until`.
+    /// Counts a run whose end won't be reported until `until`, when it has ended at the latest.
     pub(crate) fn add_usage_until(
         &mut self,
         until: Now,
@@ -86,19 +87,20 @@
         self.expiring.push((until, account.clone(), *amount));
     }
 
-    /// Forgets what was counted for a time that is over.
+    /// Drops the usage whose fixed time has passed.
     pub(crate) fn expire(&mut self, now: Now) {
         let ended: Vec<_> = self.expiring.extract_if(.., |(until, ..)| *until <= now).collect();
         ended.iter().for_each(|(_, account, amount)| self.subtract_usage(Some(account), amount));
     }
 
-    /// What an account may have running now.
+    /// Returns the resources that may be in use by an account now.
     pub(crate) fn used(&self, account: &str) -> Resources {
         self.used.get(account).copied().unwrap_or_default()
     }
 
-    /// Whether an account may start this much more at once. One task that is larger than the cap by
-    /// itself may run alone, or it never could.
+    /// Returns whether an account may start `tasks` more tasks of `need` each at once. A single task that
+    /// exceeds the cap by itself is allowed while nothing else of the account runs; it could never run
+    /// otherwise.
     pub(crate) fn allows(
         &self,
         account: Option<&AccountName>,
@@ -113,21 +115,21 @@
         settings.cap.covers(&after) || (tasks == 1 && used == Resources::default())
     }
 
-    /// How much more each account may start.
+    /// Returns a budget of what each account may still start.
     pub(crate) fn headroom(&self) -> Headroom<'_> {
         Headroom { accounts: self, remaining_millicores: BTreeMap::new() }
     }
 
-    /// Processor that an account may still start, in thousandths of a core.
+    /// Returns the CPU that an account may still start, in thousandths of a core.
     pub(crate) fn remaining_millicores(&self, account: Option<&AccountName>) -> u64 {
         let settings = account.and_then(|account| self.settings.get(account));
         let Some(settings) = settings else { return u64::MAX };
-        let most = settings.cap.cpu_millicores.unwrap_or(u64::MAX);
-        most.saturating_sub(self.used(&settings.name).cpu_millicores)
+        let cap_millicores = settings.cap.cpu_millicores.unwrap_or(u64::MAX);
+        cap_millicores.saturating_sub(self.used(&settings.name).cpu_millicores)
     }
 }
 
-/// How much more processor each account may start, for planning: what a cap keeps from running needs no
+/// Remaining CPU budget of each account, for planning: tasks that a cap keeps from starting need no
 /// machines.
 #[derive(Debug)]
 pub(crate) struct Headroom<'a> {
@@ -136,7 +138,7 @@
 }
 
 impl<'a> Headroom<'a> {
-    /// Takes as much of `millicores` as the account may still start, and returns that.
+    /// Deducts up to `millicores` from the account's budget and returns the deducted amount.
     pub(crate) fn take(&mut self, account: Option<&'a AccountName>, millicores: u64) -> u64 {
         let Some(account) = account else { return millicores };
         let accounts = self.accounts;
--- a/crates/jackdawpier_fleet/src/crash.rs
+++ b/crates/jackdawpier_fleet/src/crash.rs
@@ -1,7 +1,7 @@
-//! What speaks for a task being the cause when executors crash under it.
+//! Evidence that a task causes its executors to crash.
 //!
-//! An executor that crashes reports nothing, and all that it ran may be to blame. How the blame is
-//! shared is in `docs/design/run_times.md`.
+//! A crashed executor reports nothing, so each task that it ran may be the cause. The attribution rules
+//! are described in `docs/design/lives.md`.
 
 use std::time::Duration;
 
@@ -12,98 +12,101 @@
 /// A run during which its executor crashed.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Crash {
-    /// Number of the start.
+    /// Number of the run.
     #[serde(rename = "r")]
     pub run: RunNumber,
-    /// The executor had confirmed the start and was heard of lately; if not, the order may not have
-    /// reached it, or the run may have ended.
+    /// Whether the executor had confirmed the start and answered recently. Otherwise the order may not have
+    /// arrived, or the run may already have ended.
     #[serde(rename = "c", default)]
     pub is_confirmed: bool,
-    /// It may have been the start that the executor didn't survive: nothing was heard of it later.
+    /// Whether the executor may have crashed right at the start of the run: it didn't answer afterwards.
     #[serde(rename = "s", default)]
     pub is_at_start: bool,
-    /// Another task had just begun there and this one hadn't, so that the other is the likelier cause.
+    /// Whether another task had just started on the executor while this one had been running for longer,
+    /// which makes the other one the likelier cause.
     #[serde(rename = "o", default, skip_serializing_if = "std::ops::Not::not")]
     pub has_likelier_cause: bool,
-    /// It was watched, so that nothing else had begun there since it did.
+    /// Whether the start was isolated: nothing else had started on the executor since.
     #[serde(rename = "w", default, skip_serializing_if = "std::ops::Not::not")]
     pub is_isolated: bool,
-    /// Another task turned out to be the cause.
+    /// Whether another task was identified as the cause.
     #[serde(rename = "x", default, skip_serializing_if = "std::ops::Not::not")]
     pub has_other_cause: bool,
-    /// How long the run had lived, at least and at most; none if this owner didn't see its start.
+    /// Bounds of the run time until the crash; `None` if the run was started under a previous owner.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     pub run_time: Option<RunTimeBounds>,
 }
 
-/// How long a run had lived when its executor crashed.
+/// Bounds of the time that a run had been running when its executor crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunTimeBounds {
-    /// From the confirmation of its start to the last that was heard, in milliseconds.
+    /// From the confirmation of the start to the executor's last answer, in milliseconds.
     pub least_ms: u64,
-    /// From the order to start it to the first sign of the crash, in milliseconds.
+    /// From the start order to the first sign of the crash, in milliseconds.
     pub most_ms: u64,
 }
 
 impl Crash {
-    /// Whether a second one like it leaves no doubt.
+    /// Returns whether two such crashes are conclusive.
     fn is_strong_evidence(&self) -> bool {
         let is_open = !self.has_likelier_cause && !self.has_other_cause;
         self.is_sole_suspect() || (self.is_confirmed && self.is_at_start && is_open)
     }
 
-    /// Whether it was certainly there and nothing else had begun since.
+    /// Returns whether the task was certainly running and nothing else had started since.
     fn is_sole_suspect(&self) -> bool {
         self.is_confirmed && self.is_isolated && !self.has_likelier_cause
     }
 }
 
-/// What follows from the crashes under a task.
+/// Suspicion against a task, derived from the crashes of its executors.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Suspicion {
-    /// It is placed like any other.
+    /// The task is placed like any other.
     None,
-    /// It starts where nothing else starts beside it, until it has run for this long: then a crash
-    /// tells which task it was, and takes no other one along that has just begun.
+    /// The start of the task is isolated: nothing else starts on its executor until it has run for this
+    /// time. A crash can then be attributed, and affects no other task that has just started.
     Isolated(Duration),
-    /// The evidence against it is plain: it isn't started again.
+    /// The evidence is conclusive: the task isn't started again.
     Conclusive,
 }
 
-/// Crashes with which a task is given up, by how many of them it certainly ran during: what may not
-/// have been its run counts for less, and is never the last of three. Five starts are all that a task
-/// that crashes its executors may have.
+/// Number of crashes after which a task is given up, indexed by the number of confirmed ones. Unconfirmed
+/// crashes weigh less and never complete the three. A task that crashes its executors gets at most five
+/// starts.
 const CONCLUSIVE_CRASHES: [usize; 4] = [5, 5, 4, 3];
 
-/// Crashes after which the starts of a task are counted.
+/// Number of crashes after which further starts of a task are limited.
 const MAX_CRASHES: usize = 3;
-/// Crashes that are enough if they are telling: after the first the task was watched.
+/// Number of crashes with strong evidence that are conclusive; the start after the first was isolated.
 const CONCLUSIVE_STRONG_CRASHES: usize = 2;
-/// Starts that a task may have after the third crash, whatever becomes of them.
+/// Maximum number of starts after the third crash, whatever their outcome.
 const MAX_STARTS_AFTER: u32 = 2;
-/// Some thirty times what a task that crashes its executor at once takes for that.
+/// Isolation of tasks whose executors crashed at the start: about thirty times the time that such a crash
+/// takes.
 const ISOLATION_AT_START: Duration = Duration::from_millis(300);
-/// For a task whose executors crashed later than that; most tasks are over by then.
+/// Isolation of tasks whose executors crashed later; most tasks have ended by then.
 const ISOLATION_AT_WORK: Duration = Duration::from_secs(2);
 
-/// How long a task that lasts isn't started where the evidence against it may be an accident.
+/// Back-off of a long-running task whose crashes may be unrelated to it.
 pub const BACKOFF_SUSPECT: Duration = Duration::from_secs(4);
-/// The same after what hardly ever is one: two crashes right after its starts, or one on trial.
+/// Back-off of a long-running task whose crashes are hardly ever unrelated to it: two crashes right after
+/// its starts, or one on probation.
 const BACKOFF_CONCLUSIVE: Duration = Duration::from_secs(60);
 
-/// When a task that lasts is started again after a run that hasn't ended well.
+/// When a long-running task is started again after a run that didn't complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Retry {
-    /// Like any other.
+    /// Immediately, like any other task.
     AtOnce,
-    /// On trial: once this time is over, where a crash could only be its own.
+    /// On probation: after this back-off, with an isolated start.
     After(Duration),
-    /// No more: what isn't the cause of all these crashes has lived through one of its trials.
+    /// Not again: a task that isn't the cause would have survived one of its runs on probation.
     Never,
 }
 
-/// Whether a task isn't started again once this run hasn't ended well. `refused` are runs that certainly
-/// never began. One that `is_long_running` would be missed until its job is cancelled, so that it takes one more.
+/// Returns whether a task isn't started again after `run` didn't complete. `refused` are runs that certainly
+/// never started. A long-running task would be missing until its job is cancelled, so it takes one more crash.
 #[must_use]
 pub fn is_given_up(
     crashes: &[Crash],
@@ -120,8 +123,8 @@
         || (was_sole_suspect && crashes.len() >= max_crashes_with_sole_suspect)
 }
 
-/// Whether a task has used up its starts with this run. One that is always there with a likelier cause
-/// never has.
+/// Returns whether `run` was the last start that a task may have. Never true for a task whose crashes all
+/// have a likelier cause.
 fn has_used_up_starts(crashes: &[Crash], run: RunNumber, refused: &[RunNumber]) -> bool {
     let Some(third) = crashes.get(MAX_CRASHES - 1) else { return false };
     let is_certain = crashes.iter().any(|crash| crash.is_confirmed);
@@ -130,20 +133,20 @@
     is_known && starts_after(third, run, refused) >= MAX_STARTS_AFTER
 }
 
-/// Starts of a task after its third crash that may have been carried out.
+/// Returns the number of starts after the third crash that may have been executed.
 fn starts_after(third: &Crash, run: RunNumber, refused: &[RunNumber]) -> u32 {
-    let never_began = refused.iter().filter(|refused| **refused > third.run).count() as u32;
-    run.saturating_sub(third.run).saturating_sub(never_began)
+    let never_started = refused.iter().filter(|refused| **refused > third.run).count() as u32;
+    run.saturating_sub(third.run).saturating_sub(never_started)
 }
 
-/// Whether a task that lasts has crashed an executor on trial.
+/// Returns whether an executor of a long-running task crashed during probation.
 #[must_use]
 pub fn has_crashed_on_probation(crashes: &[Crash]) -> bool {
     crashes.iter().skip(MAX_CRASHES).any(Crash::is_sole_suspect)
 }
 
-/// Whether a task may have crashed its executors after the same time in each run. One that is only there when they
-/// crash hardly ever has.
+/// Returns whether the executors may have crashed after the same run time of the task each time. That is
+/// hardly ever the case for a task that isn't the cause.
 fn run_times_agree(crashes: &[Crash]) -> bool {
     let run_times = || crashes.iter().filter_map(|crash| crash.run_time);
     let least = run_times().map(|run_time| run_time.least_ms).max().unwrap_or(0);
@@ -151,8 +154,9 @@
     least <= most
 }
 
-/// When a task that lasts is started again after this run. One that isn't the cause would be missed until its job is
-/// cancelled, so it is tried again, as often as a cause may be started: a trial tells them apart.
+/// Determines when a long-running task is started again after `run`. A task that isn't the cause would be
+/// missing until its job is cancelled, so it is retried as often as a cause may be started: the run on
+/// probation distinguishes the two.
 #[must_use]
 pub fn retry(crashes: &[Crash], run: RunNumber, refused: &[RunNumber]) -> Retry {
     let third = crashes.get(MAX_CRASHES - 1);
@@ -169,14 +173,14 @@
     Retry::After(if is_plain { BACKOFF_CONCLUSIVE } else { BACKOFF_SUSPECT })
 }
 
-/// Whether so much speaks against a task that lasts that each further start is a trial.
+/// Returns whether the evidence puts each further start of a long-running task on probation.
 #[must_use]
 pub fn is_on_probation(crashes: &[Crash]) -> bool {
     crashes.len() >= MAX_CRASHES || suspicion(crashes) == Suspicion::Conclusive
 }
 
-/// For how long a task is watched once it starts; none if it isn't. One that `is_long_running` and is tried again has to
-/// live for as long as clears it.
+/// Returns for how long the start of a task is isolated; `None` if it isn't. A long-running task on probation
+/// is isolated until it has run long enough to be cleared.
 #[must_use]
 pub fn isolation_time(crashes: &[Crash], is_long_running: bool) -> Option<Duration> {
     match suspicion(crashes) {
@@ -188,8 +192,9 @@
     }
 }
 
-/// Judges a task by its crashes. Those with a likelier cause only let it be watched, so that the next one has
-/// none. It isn't watched for those that are explained, up to the third: any number of tasks may be alike.
+/// Assesses a task by the crashes of its executors. Crashes with a likelier cause only lead to isolation, so
+/// that the next crash has no other candidate. Crashes with another known cause don't lead to isolation
+/// before the third: any number of tasks of the same kind may have been affected.
 #[must_use]
 pub fn suspicion(crashes: &[Crash]) -> Suspicion {
     if crashes.is_empty() {
@@ -211,12 +216,13 @@
     }
 }
 
-/// Crashes during which a task was certainly there, and of which no likelier cause is known.
+/// Returns the crashes during which the task was certainly running and that have no likelier or known other
+/// cause.
 fn certain(crashes: &[Crash]) -> impl Iterator<Item = &Crash> {
     own(crashes).filter(|crash| crash.is_confirmed && !crash.has_other_cause)
 }
 
-/// Crashes that speak against the task itself.
+/// Returns the crashes without a likelier cause.
 fn own(crashes: &[Crash]) -> impl Iterator<Item = &Crash> {
     crashes.iter().filter(|crash| !crash.has_likelier_cause)
 }
--- a/crates/jackdawpier_fleet/src/demand.rs
+++ b/crates/jackdawpier_fleet/src/demand.rs
@@ -1,7 +1,7 @@
-//! How much work arrives, by pool.
+//! Estimates the demand of a pool from the rate at which jobs arrive.
 //!
-//! What waits shows a burst only once there is a backlog, and machines take a second and a half to
-//! come; the rate of arrivals shows it within some tenths of a second.
+//! Waiting tasks show a burst only once there is a backlog, and a moved machine takes 1.5 seconds to
+//! become available; the arrival rate shows a burst within some tenths of a second.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -9,43 +9,42 @@
 
 use crate::policy::Policy;
 
-/// The rate of arrivals is taken over this time.
+/// Period over which the arrival rate is measured.
 const RATE_WINDOW: Duration = Duration::from_millis(1000);
-/// Arrivals are remembered for this time: the window and the one before it, which tell a trend.
+/// Arrivals are kept for the current window and the one before it, from which the trend is computed.
 const RETENTION: Duration = Duration::from_millis(2000);
-/// From the middle of the window to the moment at which a machine that is ordered now takes work, in
-/// windows.
+/// Time from the middle of the window until a machine that is ordered now accepts work, in windows.
 const TREND_LEAD_WINDOWS: f64 = 2.3;
-/// Growth from one window to the next that isn't chance, in standard deviations of its count.
+/// Minimum growth between windows that counts as a trend, in standard deviations of the job count.
 const TREND_DEVIATIONS: f64 = 2.0;
-/// The rate is taken over this much at least, so that two jobs at once aren't a burst.
+/// Minimum period of the rate, so that two simultaneous jobs don't count as a burst.
 const MIN_RATE_PERIOD: Duration = Duration::from_millis(400);
 
-/// A sudden rise shows within this time, in which the longer window still holds the calm before it. Seen
-/// 0.3 s sooner, a five-fold rise has 0.02 of a day's worth more in time (20 paired days), and on a calm
-/// day the jobs late in it fall from 98 to 17 of 1,000.
+/// Window for the detection of bursts; the longer window still averages over the time before a burst.
+/// With a five-fold rise detected 0.3 s sooner, an additional 0.02 of a day's value is on time (20 paired
+/// days); on a day with low load, late jobs during a burst fall from 98 to 17 of 1,000.
 const BURST_WINDOW: Duration = Duration::from_millis(250);
-/// Jobs within that time from which on it is taken for a rise: fewer are chance.
+/// Minimum number of jobs within [`BURST_WINDOW`] that counts as a burst; fewer are random variation.
 const BURST_MIN_JOBS: usize = 5;
 
-/// Arrivals of one pool within the last two seconds.
+/// Recent job arrivals of one pool, kept for [`RETENTION`].
 #[derive(Debug, Default)]
 pub(crate) struct Arrivals {
     jobs: VecDeque<(Now, u64)>,
 }
 
 impl Arrivals {
-    /// A job with this much work, in core-milliseconds, came at `arrived_at`. One that has waited to be
-    /// noticed doesn't count as coming now.
+    /// Records a job with `core_ms` of work that arrived at `arrived_at`. A job that is recorded late counts
+    /// at its arrival time, not now.
     pub(crate) fn add(&mut self, now: Now, arrived_at: Now, core_ms: u64) {
         if now.saturating_sub(arrived_at) > RETENTION {
             return;
         }
-        let place = self.jobs.partition_point(|(at, _)| *at <= arrived_at);
-        self.jobs.insert(place, (arrived_at, core_ms));
+        let position = self.jobs.partition_point(|(at, _)| *at <= arrived_at);
+        self.jobs.insert(position, (arrived_at, core_ms));
     }
 
-    /// The room that work arriving at the present rate takes on the long run, in thousandths of a
+    /// Returns the CPU that work arriving at the current rate needs in steady state, in thousandths of a
     /// core.
     pub(crate) fn demand_millicores(&mut self, now: Now, policy: Policy) -> u64 {
         let is_old = |at: Now| now.saturating_sub(at) > RETENTION;
@@ -58,7 +57,7 @@
         steady.max(burst).max(trend)
     }
 
-    /// The jobs of the last window.
+    /// Returns the jobs of the last window.
     fn recent(&self, now: Now) -> impl Iterator<Item = &(Now, u64)> {
         let is_recent = move |(at, _): &&(Now, u64)| now.saturating_sub(*at) <= RATE_WINDOW;
         self.jobs.iter().rev().take_while(is_recent)
@@ -72,7 +71,8 @@
         core_ms * 1000 / over_ms
     }
 
-    /// What the rate will be when machines that are ordered now take work, if it grows.
+    /// Returns the demand extrapolated to the time when machines that are ordered now accept work; 0
+    /// without a growing trend.
     fn trend_millicores(&self, now: Now) -> u64 {
         let recent = self.recent(now).count() as f64;
         let before = self.jobs.len() as f64 - recent;
@@ -82,7 +82,7 @@
         }
         let core_ms: u64 = self.jobs.iter().map(|(_, core_ms)| core_ms).sum();
         let mean_core_ms = core_ms as f64 / (recent + before);
-        // A core-millisecond a millisecond is a core.
+        // One core-millisecond per millisecond equals one core.
         let cores =
             (recent + growth * TREND_LEAD_WINDOWS) * mean_core_ms / RATE_WINDOW.as_millis() as f64;
         (cores * 1000.0) as u64
--- a/crates/jackdawpier_fleet/src/job_rank.rs
+++ b/crates/jackdawpier_fleet/src/job_rank.rs
@@ -1,8 +1,8 @@
-//! The order in which waiting jobs get room.
+//! The order in which waiting jobs are placed.
 //!
-//! Under a burst of several times a pool's room somebody has to wait. A job that comes too late is
-//! worth a fraction, so jobs that can still meet their objective go first, nearest deadline first;
-//! those that can't follow in order of acceptance, so that none waits for ever.
+//! Under a burst that exceeds a pool's capacity several times some jobs must wait. A late job is worth a
+//! fraction, so jobs that can still meet their objective go first, by earliest deadline; those that can't
+//! follow in order of acceptance, which prevents starvation.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 
 use crate::{job::Job, policy::Policy, spec::Queue};
 
-/// The place of a job in the order; lower goes first. A repeated job goes by its next occurrence.
+/// Sort key of a waiting job; lower ranks are placed first. A repeated job is ranked by its next occurrence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
     priority: u32,
@@ -19,7 +19,7 @@
 }
 
 impl Rank {
-    /// The job can't earn anything any more.
+    /// Returns whether the job is too late to have any value.
     pub(crate) fn is_expired(&self) -> bool {
         self.lateness == Lateness::Expired
     }
@@ -27,21 +27,22 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Lateness {
-    /// Runs until it is cancelled: every second without it costs.
+    /// The job runs until it is cancelled, so each second of delay has a cost.
     LongRunning,
     OnTime,
     Late,
     Expired,
 }
 
-/// A late job counts as late up to this many times its objective; after that it earns nothing.
+/// Multiple of its objective after which a late job has no value any more.
 const EXPIRED_AFTER_OBJECTIVES: u32 = 3;
 
-/// The time that the queue gives a job from its acceptance.
+/// Returns the time from acceptance within which the queue expects a job to complete.
 pub(crate) fn objective(job: &Job, queue: &Queue) -> Duration {
     job.longest_chain().mul_f64(queue.slack_factor.max(0.0)) + queue.target
 }
 
+/// Computes the rank of a waiting job.
 pub(crate) fn rank(now: Now, job: &Job, queue: &Queue, policy: Policy) -> Rank {
     let objective = objective(job, queue);
     let began_at = job.next_occurrence_began_at();
--- a/crates/jackdawpier_fleet/src/lib.rs
+++ b/crates/jackdawpier_fleet/src/lib.rs
@@ -1,9 +1,9 @@
-//! Pure decisions of the fleet's owner: which task runs on which executor, when a run counts as
-//! over, what has to be durable before an order leaves, and which machine changes pool or is
-//! maintained next.
+//! Decision logic of the fleet's owner: places tasks on executors, determines when a run counts as
+//! over and what must be durable before an order is sent, and selects the machines to move between
+//! pools or to maintain.
 //!
-//! [`fleet::Fleet`] takes events with the time they came at and returns commands; it holds no I/O,
-//! no clock and no random numbers. See `docs/design/platform.md`.
+//! [`fleet::Fleet`] is a deterministic state machine: it takes timestamped events and returns
+//! commands, without I/O, clock or random numbers. See `docs/design/platform.md`.
 
 pub mod account;
 pub mod crash;
--- a/crates/jackdawpier_fleet/src/policy.rs
+++ b/crates/jackdawpier_fleet/src/policy.rs
@@ -1,37 +1,37 @@
-//! The mechanisms of placing and moving that can be switched off one by one, to measure what each is
-//! worth (`docs/design/load.md` has the table). All are on in service.
+//! Switches for the mechanisms of placement and pool sizing. Each can be disabled to measure its effect
+//! (see the table in `docs/design/load.md`); all are enabled in production.
 
-/// Which mechanisms decide; [`Policy::default`] has all of them.
+/// Enabled mechanisms; [`Policy::default`] enables all of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-#[allow(clippy::struct_excessive_bools, reason = "each is a switch of its own")]
+#[allow(clippy::struct_excessive_bools, reason = "the switches are independent of each other")]
 pub struct Policy {
-    /// Waiting jobs go by what they can still reach and by their due time; without it, by arrival.
+    /// Orders waiting jobs by lateness and due time; otherwise by arrival.
     pub orders_by_due_time: bool,
-    /// A task goes where it leaves least room; without it, to the first executor that has some.
+    /// Places a task on the executor that it leaves with the least room; otherwise on the first that fits.
     pub uses_best_fit: bool,
-    /// Room is held for jobs that wait for much of it at once.
+    /// Reserves room for jobs that need much of it at once.
     pub reserves_room: bool,
-    /// Work that needs no label leaves room on executors with a scarce one.
+    /// Keeps tasks that need no label off executors with a scarce label.
     pub avoids_scarce_labels: bool,
-    /// An executor that fails many runs in a row is left out for a while.
+    /// Excludes an executor from placement for a while after many consecutive failures.
     pub excludes_failing_executors: bool,
-    /// A task under which executors have crashed starts where nothing else starts beside it.
+    /// Isolates the start of a task whose executors have crashed: nothing else starts on the executor.
     pub isolates_suspects: bool,
-    /// What had been on an executor for long is hardly blamed for a crash beside what had just begun.
+    /// Prefers recently started tasks over long-established ones as the cause of an executor's crash.
     pub weighs_run_time: bool,
-    /// Once a task turns out to be the cause of a crash the others that were there aren't suspected for it.
+    /// Clears the other tasks on a crashed executor once one task is identified as the cause.
     pub attributes_crashes: bool,
-    /// The rate of arrivals counts towards what a pool needs, not only what runs and waits.
+    /// Includes the arrival rate in a pool's demand, beside running and waiting tasks.
     pub uses_arrival_rate: bool,
-    /// A rise within a quarter of a second counts as well as the rate over a second.
+    /// Detects bursts over a quarter of a second, beside the rate over a second.
     pub detects_bursts: bool,
-    /// A rate of arrivals that grows counts as what it will be when machines could come.
+    /// Extrapolates a growing arrival rate to the time when moved machines become available.
     pub extrapolates_trend: bool,
-    /// A pool keeps part of an equal share of the machines though it needs less now.
+    /// Keeps part of an equal share of the machines in a pool that currently needs less.
     pub keeps_minimum_share: bool,
-    /// A machine that is to be taken gives its long-running tasks away one by one.
+    /// Migrates long-running tasks one by one off a machine that is to be moved or maintained.
     pub migrates_long_running: bool,
-    /// Lasting tasks move beside others for work that else never finds room.
+    /// Relocates long-running tasks to make room for work that otherwise never fits.
     pub defragments: bool,
 }
 
--- a/crates/jackdawpier_fleet/src/record.rs
+++ b/crates/jackdawpier_fleet/src/record.rs
@@ -1,7 +1,7 @@
-//! The durable progress of a job: what a later owner of the fleet has to know.
+//! The durable state of a job, from which the next owner of the fleet recovers.
 //!
-//! A placement is written before the first order leaves, so that whatever may be running anywhere
-//! is named in the store; an end is written before its executor may forget it.
+//! A placement is written before its first order is sent, so that the store names everything that may be
+//! running; the end of a run is written before it is acknowledged to the executor.
 
 use jackdawpier_kernel::ids::{AccountName, ExecutorId};
 use serde::{Deserialize, Serialize};
@@ -15,84 +15,84 @@
 /// How a job ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum JobOutcome {
-    /// All tasks are done.
+    /// All tasks completed.
     Completed,
-    /// A task failed as often as its queue allows.
+    /// A task reached the attempt limit of its queue.
     Failed,
     /// Its caller cancelled it.
     Cancelled,
 }
 
-/// Where a task stands durably.
+/// Durable status of a task.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub enum TaskStatus {
-    /// Nothing of it runs anywhere.
+    /// The task isn't placed and doesn't run.
     #[default]
     #[serde(rename = "w")]
     Waiting,
-    /// A run may have been ordered at this executor.
+    /// A start may have been ordered on this executor.
     #[serde(rename = "p")]
     Placed(ExecutorId),
-    /// It has ended well.
+    /// The task completed successfully.
     #[serde(rename = "d")]
     Done,
 }
 
-/// The durable state of one task.
+/// Durable state of one task.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskRecord {
-    /// Where it stands.
+    /// Status of the task.
     #[serde(rename = "s")]
     pub status: TaskStatus,
-    /// The life of the executor that it was placed on, if that is known.
+    /// Incarnation of the executor that the task was placed on, if known.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     pub placed_incarnation: Option<IncarnationId>,
-    /// Number of its last start; 0 before the first.
+    /// Number of the last start; 0 before the first.
     #[serde(rename = "r", default)]
     pub run: RunNumber,
-    /// Runs that ended in failure. Their numbers are kept, since an executor reports an end again to
-    /// a later owner until it is acknowledged.
+    /// Runs that ended in failure. The numbers deduplicate reports: an executor repeats the end of a run,
+    /// also to the next owner, until it is acknowledged.
     #[serde(rename = "f", default, skip_serializing_if = "Vec::is_empty")]
     pub failed_runs: Vec<RunNumber>,
-    /// Runs during which their executors crashed.
+    /// Runs during which the executor crashed.
     #[serde(rename = "k", default, skip_serializing_if = "Vec::is_empty")]
     pub crashes: Vec<Crash>,
-    /// Runs since the first of these crashes that certainly never began.
+    /// Runs after the first of these crashes that certainly never started.
     #[serde(rename = "n", default, skip_serializing_if = "Vec::is_empty")]
     pub refused_runs: Vec<RunNumber>,
-    /// Executors crash under it, and its job lasts and goes on: a task that lasts itself is tried again after a
-    /// pause, another isn't started again.
+    /// The task is suspected of crashing executors while its long-running job continues: a long-running task
+    /// is retried after a back-off, any other isn't started again.
     #[serde(rename = "g", default, skip_serializing_if = "std::ops::Not::not")]
     pub is_given_up: bool,
-    /// Checkpoint to go on from; empty if there is none.
+    /// Checkpoint to resume from; empty if there is none.
     #[serde(rename = "c", default, skip_serializing_if = "str::is_empty")]
     pub checkpoint: Box<str>,
 }
 
-/// What a job that is over may have left running: its tasks were told to stop and hadn't said yet that
-/// they did.
+/// Resources that may still be in use by a finished job: those of tasks that were ordered to stop and
+/// whose end hadn't been reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LeftoverUsage {
-    /// The room of those tasks.
+    /// Resources of those tasks.
     pub amount: Resources,
     /// Time of day of the job's end, in milliseconds since 1970.
     pub ended_ms: u64,
 }
 
-/// The durable state of one job, in the order of occurrences, steps and tasks.
+/// Durable state of one job; tasks are ordered by occurrence, step and index.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// Set once the job is over.
+    /// Outcome of the job, once it is over.
     pub outcome: Option<JobOutcome>,
-    /// The client account that it belongs to; none where no key was asked for.
+    /// Client account that submitted the job; `None` where no API key was required.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub account: Option<AccountName>,
-    /// What may still have been running of it when it was over, for the account's cap.
+    /// Resources that may still have been in use when the job was over; they count towards the account's cap.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub remains: Option<LeftoverUsage>,
-    /// Some task has been ordered at least once.
+    /// Whether any task has been ordered to start.
     pub has_begun: bool,
-    /// Some task was ordered more than once.
+    /// Whether any task has been ordered to start more than once.
     #[serde(default)]
     pub has_rerun: bool,
     /// All tasks; empty once the job is over.
--- a/crates/jackdawpier_fleet/src/sorted_hash_map.rs
+++ b/crates/jackdawpier_fleet/src/sorted_hash_map.rs
@@ -1,13 +1,12 @@
-//! A map that is read by hash and listed in the order of its keys.
+//! A map with lookup by hash and iteration in key order.
 //!
-//! Decisions must follow from what they are given alone. The order of a hash map hangs on a random seed, so
-//! that two owners would decide differently on the same facts, and a history of the model would have several
-//! outcomes. Reading an ordered map costs a round of placing twice as much
-//! (`docs/design/lives.md#one-seed-one-history`).
+//! Decisions must be deterministic. The iteration order of a hash map depends on a random seed: two owners
+//! would decide differently on the same input, and a simulated history would have several outcomes. Lookups
+//! in an ordered map double the time of a placement round (`docs/design/lives.md#one-seed-one-history`).
 
 #![allow(
     clippy::disallowed_types,
-    reason = "this is where the order of a hash map is kept from decisions"
+    reason = "the wrapper doesn't expose the hash map's iteration order to decisions"
 )]
 
 use std::{
@@ -16,7 +15,7 @@
     hash::Hash,
 };
 
-/// Rows by key.
+/// A hash map with a sorted set of its keys.
 #[derive(Debug)]
 pub(crate) struct SortedHashMap<K, V> {
     values: HashMap<K, V>,
@@ -51,7 +50,7 @@
         self.values.contains_key(key)
     }
 
-    /// The row of a key; a new one if there is none.
+    /// Returns the value of a key; inserts a new one if there is none.
     pub(crate) fn get_or_insert_with(&mut self, key: K, new: impl FnOnce() -> V) -> &mut V {
         let order = &mut self.order;
         self.values.entry(key).or_insert_with_key(|key| {
@@ -60,7 +59,7 @@
         })
     }
 
-    /// Sets the row of a key.
+    /// Sets the value of a key.
     pub(crate) fn insert(&mut self, key: K, value: V) {
         if self.values.insert(key.clone(), value).is_none() {
             self.order.insert(key);
@@ -75,7 +74,7 @@
         self.values.remove(key)
     }
 
-    /// Keeps the rows that `is_kept` says, asked in any order.
+    /// Keeps the entries for which `is_kept` returns true. Entries are visited in arbitrary order.
     pub(crate) fn retain(&mut self, mut is_kept: impl FnMut(&K, &V) -> bool) {
         let order = &mut self.order;
         self.values.retain(|key, value| {
@@ -87,25 +86,25 @@
         });
     }
 
-    /// The keys of the rows that are `wanted`, in order.
-    pub(crate) fn keys_where(&self, wanted: impl Fn(&K, &V) -> bool) -> Vec<K> {
-        let found = self.values.iter().filter(|(key, value)| wanted(key, value));
+    /// Returns the keys of the entries that match `predicate`, in order.
+    pub(crate) fn keys_where(&self, predicate: impl Fn(&K, &V) -> bool) -> Vec<K> {
+        let found = self.values.iter().filter(|(key, value)| predicate(key, value));
         let mut keys: Vec<K> = found.map(|(key, _)| key.clone()).collect();
         keys.sort_unstable();
         keys
     }
 
-    /// All rows in any order, for counts and maxima, which don't hang on it.
+    /// Returns all values in arbitrary order, for counts and maxima, which don't depend on it.
     pub(crate) fn unordered_values(&self) -> impl Iterator<Item = &V> {
         self.values.values()
     }
 
-    /// All rows, in the order of their keys.
+    /// Returns all entries in key order.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
         self.order.iter().filter_map(|key| Some((key, self.values.get(key)?)))
     }
 
-    /// All keys in order.
+    /// Returns all keys in order.
     pub(crate) fn keys(&self) -> impl Iterator<Item = &K> {
         self.order.iter()
     }
@@ -125,6 +124,6 @@
     type Output = V;
 
     fn index(&self, key: &Q) -> &V {
-        self.get(key).expect("the caller has just read it")
+        self.get(key).expect("the key is in the map")
     }
 }
--- a/crates/jackdawpier_fleet/src/spec.rs
+++ b/crates/jackdawpier_fleet/src/spec.rs
@@ -1,4 +1,4 @@
-//! What callers ask for: jobs of steps of equal tasks, and the settings of the queues they enter.
+//! Job specifications as submitted by callers, and the settings of queues and services.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,32 +8,32 @@
 
 /// Name of a queue, from the configuration.
 pub type QueueName = Arc<str>;
-/// Something that an executor can do or has, which a task may need.
+/// Capability of an executor that a task may require.
 pub type Label = Arc<str>;
-/// Number of a start of a task; a later start has a higher one.
+/// Number of a run of a task, increasing with each start.
 pub type RunNumber = u32;
 
-/// Most tasks that one job may have over all its steps and occurrences: a record of that many tasks still fits into
-/// one value of the store, a megabyte at up to 128 bytes a task.
+/// Maximum number of tasks of a job over all steps and occurrences. The job's record has to fit into one value
+/// of the store: a megabyte, at up to 128 bytes per task.
 pub const MAX_TASKS_PER_JOB: u64 = 8_192;
 
-/// Longest time that a task may be said to take, a year: a chain of as many as a job may have can be added up
-/// and multiplied by any slack. Each owner in turn reads a job that was taken in, so one that can't be
-/// planned with would end them all.
+/// Maximum run time estimate of a task, one year, so that the longest possible chain of tasks multiplied by
+/// any slack factor doesn't overflow. Each owner in turn recovers every accepted job, so one that overflows
+/// would crash them all.
 pub const MAX_ESTIMATE: Duration = Duration::from_secs(366 * 24 * 3600);
 
-/// Most that a task may ask for of one resource, a million cores or a petabyte: far more than any machine
-/// has, and little enough to be added up over all tasks that wait.
+/// Maximum amount of one resource that a task may request, a million cores or a petabyte: far more than any
+/// machine has, and small enough that the sum over all waiting tasks doesn't overflow.
 pub const MAX_RESOURCE_AMOUNT: u64 = 1_000_000_000;
 
-/// Most work that a job counts as in the rate at which work arrives: it asks for all machines there are,
-/// and a thousand such jobs a second can still be added up.
+/// Maximum work that a job counts with in the arrival rate, in core-milliseconds: it already demands all
+/// machines, and the sum over a thousand such jobs a second doesn't overflow.
 pub const MAX_CORE_MS: u64 = 100_000_000_000;
 
-/// An amount of an executor's room.
+/// Amounts of the resources of an executor.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Resources {
-    /// Processor, in thousandths of a core.
+    /// CPU, in thousandths of a core.
     pub cpu_millicores: u64,
     /// Memory in megabytes.
     pub memory_mb: u64,
@@ -42,10 +42,10 @@
 }
 
 impl Resources {
-    /// More than anything asks for.
+    /// Unlimited resources.
     pub const MAX: Self = Self { cpu_millicores: u64::MAX, memory_mb: u64::MAX, gpus: u64::MAX };
 
-    /// Whether this much fits into `room`.
+    /// Returns whether this amount fits into `room`.
     pub fn fits(&self, room: &Self) -> bool {
         self.cpu_millicores <= room.cpu_millicores
             && self.memory_mb <= room.memory_mb
@@ -59,7 +59,7 @@
         self.gpus += other.gpus;
     }
 
-    /// This much for each of some tasks.
+    /// Returns this amount multiplied by the number of tasks.
     #[must_use]
     pub fn times(&self, tasks: u64) -> Self {
         Self {
@@ -69,21 +69,21 @@
         }
     }
 
-    /// Takes `other` away.
+    /// Subtracts `other`, down to zero.
     pub fn subtract(&mut self, other: &Self) {
         self.cpu_millicores = self.cpu_millicores.saturating_sub(other.cpu_millicores);
         self.memory_mb = self.memory_mb.saturating_sub(other.memory_mb);
         self.gpus = self.gpus.saturating_sub(other.gpus);
     }
 
-    /// Raises each amount to that of `other` where that is larger.
+    /// Raises each amount to at least that of `other`.
     pub fn raise_to(&mut self, other: &Self) {
         self.cpu_millicores = self.cpu_millicores.max(other.cpu_millicores);
         self.memory_mb = self.memory_mb.max(other.memory_mb);
         self.gpus = self.gpus.max(other.gpus);
     }
 
-    /// How often `need` fits into this room; nothing at all fits no end of times.
+    /// Returns how many times `need` fits into this room; `usize::MAX` if `need` is zero.
     pub fn fit_count(&self, need: &Self) -> usize {
         let pairs = [
             (self.cpu_millicores, need.cpu_millicores),
@@ -94,7 +94,7 @@
         times.min().map_or(usize::MAX, |times| times as usize)
     }
 
-    /// What is left of this room once `used` is taken.
+    /// Returns the remainder of this room after subtracting `used`.
     #[must_use]
     pub fn minus(&self, used: &Self) -> Self {
         let mut left = *self;
@@ -103,98 +103,98 @@
     }
 }
 
-/// One step of a job: `count` tasks that are alike.
+/// One step of a job: `count` identical tasks.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct StepSpec {
     /// Number of tasks.
     pub count: u32,
-    /// What each task asks for.
+    /// Resources that each task requests.
     pub need: Resources,
-    /// The caller's rough estimate of a task's run time.
+    /// The caller's estimate of a task's run time.
     pub estimate: Duration,
-    /// Earlier steps, all of whose tasks have to be done first.
+    /// Earlier steps that must complete before this one starts.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub after: Vec<usize>,
-    /// Tasks leave checkpoints from which a later run goes on.
+    /// Whether tasks write checkpoints from which a later run resumes.
     #[serde(default)]
     pub saves_progress: bool,
-    /// Tasks work only together and end together.
+    /// Whether the tasks form a gang: they start and end together.
     #[serde(default)]
     pub is_gang: bool,
-    /// Tasks are slower when they run on more than one rack.
+    /// Whether tasks are slower when they run on more than one rack.
     #[serde(default)]
     pub same_rack: bool,
-    /// A label that the executor must have.
+    /// Label that the executor must have.
     #[serde(default)]
     pub required_label: Option<Label>,
-    /// The rack where the data lies; elsewhere the task is slower.
+    /// Rack where the data is stored; the task is slower elsewhere.
     #[serde(default)]
     pub data_rack: Option<Arc<str>>,
-    /// Most tasks of the step (of one occurrence) on one executor; 0 means no bound.
+    /// Maximum number of tasks of the step, per occurrence, on one executor; 0 for no limit.
     #[serde(default)]
     pub max_per_executor: u32,
-    /// Copies of a task may run at the same time.
+    /// Whether copies of a task may run at the same time.
     #[serde(default)]
     pub is_speculative: bool,
-    /// Tasks run until the job is cancelled.
+    /// Whether tasks run until the job is cancelled.
     #[serde(default)]
     pub is_long_running: bool,
-    /// What the tasks run; tasks of one image behave alike.
+    /// Image that the tasks run; tasks of the same image behave alike.
     #[serde(default)]
     pub image: Option<Arc<str>>,
-    /// Bound on the tail of the response times of a long-running task that serves users.
+    /// Maximum tail latency of a long-running task that serves users.
     #[serde(default)]
     pub tail_target: Option<Duration>,
-    /// The processor need isn't counted: the tasks use what the others leave.
+    /// Whether tasks only use CPU that other tasks leave idle; their CPU need isn't allocated.
     #[serde(default)]
     pub is_filler: bool,
-    /// Tasks that may be away at the same time because of planned work; 0 means no such budget.
+    /// Number of tasks that may be down at the same time for planned work; 0 for no such budget.
     #[serde(default)]
     pub may_miss: u32,
 }
 
 impl StepSpec {
-    /// The room that a task takes on an executor.
+    /// Returns the resources that a task allocates on an executor.
     pub fn allocated(&self) -> Resources {
         let cpu_millicores = if self.is_filler { 0 } else { self.need.cpu_millicores };
         Resources { cpu_millicores, ..self.need }
     }
 }
 
-/// When the steps of a repeated job are due.
+/// Schedule of a repeated job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Schedule {
     /// Due time of the first occurrence, in milliseconds since 1970.
     pub first_ms: u64,
-    /// Milliseconds between occurrences.
+    /// Interval between occurrences, in milliseconds.
     pub interval_ms: u64,
     /// Number of occurrences.
     pub repeats: u32,
 }
 
 impl Schedule {
-    /// Due time of the last occurrence, in milliseconds since 1970; none if no clock shows it.
+    /// Returns the due time of the last occurrence, in milliseconds since 1970; `None` on overflow.
     fn last_ms(&self) -> Option<u64> {
         self.interval_ms.checked_mul(u64::from(self.repeats))?.checked_add(self.first_ms)
     }
 }
 
-/// A job as its caller handed it in.
+/// Specification of a job as submitted by its caller.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Opaque text that is handed to each task.
+    /// Opaque text that is passed to each task.
     pub payload: Arc<str>,
-    /// The steps in the caller's order.
+    /// Steps in the caller's order.
     pub steps: Vec<StepSpec>,
-    /// Set for a job that runs at given times.
+    /// Schedule of a repeated job.
     #[serde(default)]
     pub schedule: Option<Schedule>,
 }
 
-/// Why a job can't be taken in. Nothing has been stored.
+/// Reason for the rejection of a job; nothing has been stored.
 #[derive(Debug, Display, Error, PartialEq, Eq)]
 pub enum SpecError {
-    /// There is nothing to run.
+    /// The job has no steps.
     #[display("a job needs at least one step")]
     NoSteps,
     /// A step has no tasks.
@@ -203,30 +203,30 @@
         /// Number of the step.
         step: usize,
     },
-    /// A step waits for itself, for a later step or for one that doesn't exist.
+    /// A step depends on itself, on a later step or on a step that doesn't exist.
     #[display("step {step} waits for step {after}, which isn't an earlier one")]
     InvalidDependency {
         /// Number of the step.
         step: usize,
-        /// The step it waits for.
+        /// Number of the step it depends on.
         after: usize,
     },
-    /// A task is said to take longer than any does.
+    /// The run time estimate exceeds [`MAX_ESTIMATE`].
     #[display("step {step} is estimated at longer than a year")]
     EstimateTooLong {
         /// Number of the step.
         step: usize,
     },
-    /// A task asks for more than any machine has.
+    /// A task requests more than [`MAX_RESOURCE_AMOUNT`] of one resource.
     #[display("step {step} asks for more than {MAX_RESOURCE_AMOUNT} of one resource")]
     NeedTooLarge {
         /// Number of the step.
         step: usize,
     },
-    /// The last occurrence has a time that no clock shows.
+    /// The due time of the last occurrence overflows.
     #[display("the last time of the schedule is too far away")]
     ScheduleTooLong,
-    /// The job has more tasks than a record can hold.
+    /// The job has more than [`MAX_TASKS_PER_JOB`] tasks.
     #[display("{tasks} tasks are more than {MAX_TASKS_PER_JOB}")]
     TooManyTasks {
         /// Number of tasks over all occurrences.
@@ -235,12 +235,12 @@
 }
 
 impl JobSpec {
-    /// Number of occurrences; a job without a schedule has one.
+    /// Returns the number of occurrences; a job without a schedule has one.
     pub fn occurrences(&self) -> u32 {
         self.schedule.map_or(1, |schedule| schedule.repeats.max(1))
     }
 
-    /// Refuses what could never be carried out.
+    /// Rejects specifications that can never be executed.
     pub fn validate(&self) -> Result<(), SpecError> {
         if self.steps.is_empty() {
             return Err(SpecError::NoSteps);
@@ -271,7 +271,7 @@
         Ok(())
     }
 
-    /// The estimated work of one occurrence, in core-milliseconds; at most [`MAX_CORE_MS`].
+    /// Returns the estimated work of one occurrence, in core-milliseconds; at most [`MAX_CORE_MS`].
     pub fn core_ms(&self) -> u64 {
         let of_step = |step: &StepSpec| {
             let millicore_ms =
@@ -282,7 +282,7 @@
         core_ms.min(u128::from(MAX_CORE_MS)) as u64
     }
 
-    /// The estimated time of the longest chain of dependent steps from each step to the end.
+    /// Returns, for each step, the estimated time of the longest chain of dependent steps from it to the end.
     pub fn remaining_chains(&self) -> Vec<Duration> {
         let mut chains: Vec<Duration> = self.steps.iter().map(|step| step.estimate).collect();
         for number in (0..self.steps.len()).rev() {
@@ -295,25 +295,25 @@
     }
 }
 
-/// A job as it lies in the store.
+/// A job as it is stored.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Submission {
-    /// The queue it entered.
+    /// Queue that the job was submitted to.
     pub queue: QueueName,
-    /// The queue's settings at that time, for an owner that never sees them: the queue may be removed
-    /// while its jobs wait.
+    /// Settings of the queue at that time. An owner that starts later may not have them: the queue may be
+    /// removed while its jobs wait.
     #[serde(default)]
     pub settings: Option<Queue>,
-    /// The client account that handed it in; none where no key is asked for.
+    /// Client account that submitted the job; `None` where no API key is required.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub account: Option<AccountName>,
-    /// Time of day of its acceptance, in milliseconds since 1970.
+    /// Time of acceptance, in milliseconds since 1970.
     pub accepted_ms: u64,
-    /// What to run.
+    /// Specification of the job.
     pub spec: JobSpec,
 }
 
-/// The identity of one task over all its runs.
+/// Identity of a task over all its runs.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TaskKey {
     /// The job.
@@ -332,30 +332,30 @@
     }
 }
 
-/// The settings of a queue that decisions need.
+/// Settings of a queue.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Queue {
     /// Name of the queue.
     pub name: QueueName,
-    /// The service whose executors run its tasks.
+    /// Service whose executors run the queue's tasks.
     pub service: ServiceName,
-    /// 0 comes first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Failed runs of a task after which its job has failed; 0 means no bound.
+    /// Number of failed runs of a task after which its job fails; 0 for no limit.
     pub max_attempts: u32,
-    /// Part of the objective: this many times the longest chain of work.
+    /// Part of the objective: multiple of the estimated time of the job's longest chain of steps.
     pub slack_factor: f64,
-    /// Part of the objective: this much more.
+    /// Part of the objective: fixed time that is added.
     pub target: Duration,
-    /// Starts need a ticket of the placement advisor.
+    /// Whether starts need a ticket of the placement advisor.
     pub needs_advice: bool,
 }
 
-/// The settings of a service that decisions need.
+/// Settings of a service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
     /// Name of the service.
     pub name: ServiceName,
-    /// Its machines are switched off and cost nothing.
+    /// Whether its machines are on standby: switched off and free of cost.
     pub is_standby: bool,
 }
