--- a/crates/jackdawpier_fleet/src/executor.rs
+++ b/crates/jackdawpier_fleet/src/executor.rs
@@ -1,4 +1,5 @@
-//! An executor as its owner sees it: room, leases by its own clock, and ends not yet acknowledged.
+//! The owner's state of an executor: allocated resources, leases by the executor's clock, and ends that
+//! aren't acknowledged yet.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -19,95 +20,95 @@
 /// An executor as the registry lists it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ExecutorInfo {
-    /// Its id, which it may keep when it starts again.
+    /// Id of the executor, which may stay the same across restarts.
     pub id: ExecutorId,
-    /// Which of its lives this is; none if it doesn't say.
+    /// Incarnation of the executor; `None` if it doesn't report one.
     pub incarnation: Option<IncarnationId>,
-    /// The service it belongs to.
+    /// Service that the executor belongs to.
     pub service: ServiceName,
-    /// Its network address; a later executor may get the same one.
+    /// Network address; a later executor may get the same one.
     pub address: Arc<str>,
-    /// Its availability zone.
+    /// Availability zone.
     pub zone: ZoneName,
-    /// Its rack, if it names one.
+    /// Rack, if it reports one.
     pub rack: Option<RackName>,
-    /// What it can do, for tasks that need a label.
+    /// Labels that tasks may require.
     pub labels: Vec<Label>,
-    /// Its room.
+    /// Total resources.
     pub capacity: Resources,
-    /// It takes no new work and leaves soon.
+    /// Whether the executor accepts no new work and leaves soon.
     pub is_draining: bool,
 }
 
-/// Tells the lives of an executor apart: when it started, in milliseconds since 1970 by its own clock, so
-/// a later one isn't always larger.
+/// Identifies an incarnation of an executor: its start time in milliseconds since 1970 by its own clock. Since
+/// clocks are adjusted, a later incarnation doesn't always have a larger id.
 pub type IncarnationId = u64;
 
-/// What an executor says about itself.
+/// An executor's answer to a hold: its running tasks and the ends of runs.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct HoldReport {
-    /// Which of its lives this is; none if it doesn't say.
+    /// Incarnation of the executor; `None` if it doesn't report one.
     pub incarnation: Option<IncarnationId>,
-    /// Its steady clock when it answered.
+    /// Monotonic clock of the executor at the time of the answer.
     pub clock: Duration,
-    /// What runs.
+    /// Running tasks.
     pub running: Vec<RunningTask>,
-    /// Ends that haven't been acknowledged, oldest first; at most [`MAX_ENDS_PER_REPORT`].
+    /// Unacknowledged ends of runs, oldest first; at most [`MAX_ENDS_PER_REPORT`].
     pub ended: Vec<EndedTask>,
 }
 
-/// An executor lists at most this many ends at a time (platform's protocol).
+/// Maximum number of ends that an executor lists in one report (platform's protocol).
 pub const MAX_ENDS_PER_REPORT: usize = 500;
 
-/// One task that runs.
+/// A running task.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RunningTask {
     /// The task.
     pub task: TaskKey,
-    /// Number of the start.
+    /// Number of the run.
     pub run: RunNumber,
-    /// Its newest checkpoint; empty if there is none.
+    /// Newest checkpoint; empty if there is none.
     pub checkpoint: Box<str>,
-    /// Share of its full speed, in percent; 0 while it starts up.
+    /// Current share of the full speed, in percent; 0 during startup.
     pub speed_percent: u32,
-    /// For a task that serves users the tail of its response times in milliseconds; for any other
-    /// the processor in use in thousandths of a core. A rough figure for the last half second.
+    /// Tail latency in milliseconds for a task that serves users; CPU usage in thousandths of a core for any
+    /// other. A rough value over the last half second.
     pub gauge: u64,
 }
 
-/// One run that has ended.
+/// The end of a run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndedTask {
-    /// Position in the executor's list of ends.
+    /// Sequence number in the executor's list of ends.
     pub sequence: u64,
     /// The task.
     pub task: TaskKey,
-    /// Number of the start.
+    /// Number of the run.
     pub run: RunNumber,
-    /// How it ended.
+    /// How the run ended.
     pub kind: EndKind,
-    /// The checkpoint it left; empty if there is none.
+    /// Last checkpoint; empty if there is none.
     pub checkpoint: Box<str>,
 }
 
 /// How a run ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndKind {
-    /// It did its work.
+    /// The task completed.
     Done,
-    /// It failed, by its own fault or the executor's.
+    /// The task failed, because of itself or of the executor.
     Failed,
-    /// It was told to stop.
+    /// The task was ordered to stop.
     Stopped,
-    /// The executor's lease ran out.
+    /// The executor's lease expired.
     Lapsed,
     /// Another member of its gang ended.
     Broken,
-    /// The other members of its gang didn't come in time.
+    /// The other members of its gang didn't start in time.
     Alone,
 }
 
-/// A task by its job and place.
+/// Identifies a task by its job and its index in the job.
 pub(crate) type TaskRef = (JobId, TaskIndex);
 
 #[derive(Debug)]
@@ -123,84 +124,84 @@
     at: Now,
 }
 
-/// Executors' steady clocks may be this much slow (platform's protocol), in thousandths.
+/// Maximum lag of the executors' monotonic clocks, in thousandths (platform's protocol).
 const MAX_CLOCK_LAG_PERMILLE: u32 = 20;
-/// Added to every judgement that a lease has run out, for the time that ending takes.
+/// Safety margin after the expiry of a lease, for the time that an executor needs to end its tasks.
 const LAPSE_MARGIN: Duration = Duration::from_millis(250);
-/// An executor that hasn't answered for this long gets no longer leases until it does, so that the
-/// end of its tasks can be foreseen: a little over one long poll and its timeout.
+/// Maximum silence of an executor for which its lease is still extended, so that the expiry of its tasks
+/// stays bounded: slightly more than one long poll and its timeout.
 const LEASE_RAISE_SILENCE_LIMIT: Duration = Duration::from_millis(1800);
 
-/// The last that was heard of a life.
+/// Last signs of an executor's incarnation.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct LastContact {
-    /// When it last answered anything at all.
+    /// Time of the last answer of any kind.
     pub(crate) last_answer: Now,
-    /// When it first failed to answer after that.
+    /// Time of the first failed call after that.
     pub(crate) first_failure: Option<Now>,
-    /// When a list of machines last named it.
+    /// Time of the last list of machines that named the executor.
     pub(crate) last_listing: Now,
-    /// For how long no list of machines was seen before the one that shows the loss, or until now.
+    /// Time without a list of machines before the one that shows the loss, or until now.
     pub(crate) listing_gap: Duration,
 }
 
-/// A task that may be what earlier executors crashed of, in its first moments here.
+/// The isolated start of a task that is suspected of crashing executors.
 #[derive(Debug)]
 pub(crate) struct IsolatedStart {
     pub(crate) task: TaskRef,
-    /// Until when; none before its start is confirmed.
+    /// End of the isolation; `None` until the start is confirmed.
     pub(crate) until: Option<Now>,
 }
 
 #[derive(Debug)]
 pub(crate) struct Executor {
-    /// Since when this process knows of it.
+    /// When this process first knew of the executor.
     pub(crate) known_at: Now,
     pub(crate) info: Option<ExecutorInfo>,
-    /// The life that it was last heard in, or registered with.
+    /// Incarnation that last answered or registered.
     pub(crate) incarnation: Option<IncarnationId>,
-    /// Lives that are over.
+    /// Incarnations that have ended.
     pub(crate) previous_incarnations: Vec<IncarnationId>,
-    /// Since when it doesn't answer holds. Until it does, what is said to it holds for any life: neither
-    /// a position in the ends nor a time on the clock of the one that is known.
+    /// Since when the executor doesn't answer holds. Until it does, orders may reach any incarnation, so they
+    /// carry neither a sequence number of the known incarnation's ends nor a time by its clock.
     pub(crate) failed_at: Option<Now>,
     pub(crate) allocated: Resources,
-    /// It has answered under this ownership, so nothing of an earlier owner can start there.
+    /// Whether the executor has answered this owner, after which no order of a previous owner can start a task.
     pub(crate) is_synced: bool,
     clock: Option<ClockReading>,
-    /// The longest lease that may have been given, by this process or before, by its clock.
+    /// Latest lease expiry that this or a previous owner may have granted, by the executor's clock.
     lease_until: Option<Duration>,
-    /// The longest that this process has given.
+    /// Latest lease expiry that this process has granted, by the executor's clock.
     granted_until: Option<Duration>,
-    /// When everything of earlier owners has lapsed there, even if it never answers.
+    /// When all leases of previous owners have expired, even if the executor never answers.
     pub(crate) uncertain_until: Now,
     pub(crate) tasks: BTreeSet<TaskRef>,
-    /// Room of steps with a bound a executor: tasks here by (job, slot).
+    /// Number of tasks on the executor by (job, slot), for steps with a limit per executor.
     pub(crate) tasks_per_slot: BTreeMap<(JobId, usize), u32>,
     unacknowledged: VecDeque<PendingAck>,
     acknowledged: u64,
-    /// An end must not be acknowledged any more, and so none after it: the task was done here, and
-    /// has been started again since. The executor takes no work until its life is over.
+    /// Set when a task that completed here has been started again elsewhere: that end, and so all ends after
+    /// it, must not be acknowledged. The executor gets no work until its incarnation ends.
     pub(crate) is_frozen: bool,
     pub(crate) last_processed_end: u64,
-    /// While this is watched nothing else starts here.
+    /// Isolated start in progress; nothing else starts on the executor meanwhile.
     pub(crate) isolated_start: Option<IsolatedStart>,
-    /// When it last answered anything at all.
+    /// Time of the last answer of any kind.
     pub(crate) answered_at: Now,
-    /// What was known of the end of its former life.
+    /// Last signs of the previous incarnation.
     pub(crate) previous_last_contact: LastContact,
     pub(crate) is_listed: bool,
-    /// When the last list of machines was asked for that named it.
+    /// When the last list of machines that names the executor was requested.
     pub(crate) last_listed_at: Now,
-    /// Its life is certainly over, though the registry may name it for seconds more.
+    /// Whether the incarnation has certainly ended, though the registry may list it for some seconds more.
     pub(crate) has_ended: bool,
-    /// No placements before this time, after a refusal or a missing answer.
+    /// Time before which nothing is placed, after a refusal or a missing answer.
     pub(crate) avoid_until: Now,
-    /// Tasks here that serve users under a bound on their tail.
+    /// Number of tasks that serve users with a tail latency target.
     pub(crate) serving_tasks: u32,
-    /// Tasks here that use what the others leave.
+    /// Number of tasks that only use idle CPU.
     pub(crate) filler_tasks: u32,
-    /// Failures in a row of different jobs, for leaving out an executor that fails all it starts.
+    /// Consecutive failures of different jobs; an executor that fails all tasks is excluded from placement.
     pub(crate) consecutive_failures: u32,
 }
 
@@ -237,6 +238,7 @@
         }
     }
 
+    /// Returns the last signs of the current incarnation.
     pub(crate) fn last_contact(&self) -> LastContact {
         LastContact {
             last_answer: self.answered_at,
@@ -246,7 +248,7 @@
         }
     }
 
-    /// The service that it belongs to, as far as it is known.
+    /// Returns the service of the executor, if known.
     pub(crate) fn service(&self) -> Option<ServiceName> {
         self.info.as_ref().map(|info| info.service.clone())
     }
@@ -257,21 +259,21 @@
             .is_some_and(|isolated_start| isolated_start.until.is_none_or(|until| now < until))
     }
 
-    /// Whether it has answered since the task that was watched here had its time, so that it isn't silent because of that
-    /// one.
+    /// Returns whether the executor has answered since the last isolation ended, so that the isolated task isn't
+    /// the cause if it stops answering.
     pub(crate) fn has_answered_since_isolation(&self) -> bool {
         let until = self.isolated_start.as_ref().and_then(|isolated_start| isolated_start.until);
         until.is_none_or(|until| self.answered_at >= until)
     }
 
-    /// A task has begun; if it is watched, it is so for a while from now.
+    /// Records the confirmed start of a task; if the start is isolated, the isolation lasts from now on.
     pub(crate) fn note_confirmed_start(
         &mut self,
         now: Now,
         task: &TaskRef,
         isolation_time: Option<Duration>,
     ) {
-        // Its crashes may have been explained since it was placed.
+        // Its crashes may have been attributed to another task since the placement.
         let time = isolation_time.unwrap_or_default();
         if let Some(isolated_start) =
             self.isolated_start.as_mut().filter(|isolated_start| isolated_start.task == *task)
@@ -284,7 +286,7 @@
         self.info.as_ref().map_or(Resources::default(), |info| info.capacity.minus(&self.allocated))
     }
 
-    /// It has started again: all that is known of it counts anew, but for the tasks that were ordered.
+    /// Resets the state after a restart of the executor, except for the tasks that were ordered.
     pub(crate) fn begin_incarnation(&mut self, now: Now, incarnation: IncarnationId) {
         let previous_last_contact = self.last_contact();
         let former = std::mem::replace(self, Self::new(now, now));
@@ -303,8 +305,9 @@
         self.failed_at = Some(now);
     }
 
-    /// The executor has answered. A former owner may have given it a lease of the usual length just
-    /// before; an order that was meant for a former life, with a time on another clock, the longest.
+    /// Records an answer of the executor. A previous owner may have just granted it a lease of the usual length;
+    /// an order that was meant for a previous incarnation, with a time by another clock, may have granted the
+    /// longest.
     pub(crate) fn note_answer(
         &mut self,
         now: Now,
@@ -314,9 +317,10 @@
     ) {
         self.answered_at = now;
         self.failed_at = None;
-        let first = if self.previous_incarnations.is_empty() { usual_lease } else { longest_lease };
-        self.lease_until.get_or_insert(executor_clock + first);
-        // Answers overtake each other: an older reading is no news.
+        let first_lease =
+            if self.previous_incarnations.is_empty() { usual_lease } else { longest_lease };
+        self.lease_until.get_or_insert(executor_clock + first_lease);
+        // Answers may arrive out of order; older clock readings are ignored.
         if self.clock.is_none_or(|last| last.executor_clock <= executor_clock) {
             self.clock = Some(ClockReading { executor_clock, at: now });
         }
@@ -326,21 +330,21 @@
         self.clock.map(|reading| reading.at)
     }
 
-    /// The lease to ask for now, by the executor's clock, and remembers it as given: the order may
-    /// be carried out though its answer gets lost.
+    /// Returns the lease expiry to order now, by the executor's clock. It counts as granted at once, since the
+    /// order may be executed even if its answer is lost.
     pub(crate) fn grant_lease(&mut self, now: Now, lease: Duration) -> Option<Duration> {
         let reading = self.clock?;
         let silent_for = now.saturating_sub(reading.at);
         let raised_by =
             if silent_for > LEASE_RAISE_SILENCE_LIMIT { Duration::ZERO } else { silent_for };
-        // What may have been given before isn't given again: a later owner counts on leases of the usual length.
+        // A longer lease of a previous owner isn't granted again: the next owner relies on the usual length.
         let until = reading.executor_clock + raised_by + lease;
         self.granted_until = self.granted_until.max(Some(until));
         self.lease_until = self.lease_until.max(self.granted_until);
         self.granted_until
     }
 
-    /// Whether all that this process ever started here has lapsed.
+    /// Returns whether the lease of everything that was ever started on the executor has expired.
     pub(crate) fn has_lapsed(&self, now: Now) -> bool {
         let Some(reading) = self.clock else {
             return now >= self.uncertain_until;
@@ -358,7 +362,7 @@
         self.unacknowledged.push_back(PendingAck { sequence, job, needed_changes });
     }
 
-    /// The position up to which all ends are durable.
+    /// Returns the sequence number up to which all ends are durable.
     pub(crate) fn acknowledge(&mut self, durable_changes: impl Fn(&JobId) -> u64) -> u64 {
         while let Some(end) = self.unacknowledged.front() {
             if durable_changes(&end.job) < end.needed_changes {
--- a/crates/jackdawpier_fleet/src/fleet/runs.rs
+++ b/crates/jackdawpier_fleet/src/fleet/runs.rs
@@ -49,7 +49,7 @@
             | Phase::Running { executor, .. }
             | Phase::Inherited { executor } => {
                 let executor = executor.clone();
-                let order = StopOrder::UnderWay;
+                let order = StopOrder::InFlight;
                 task.phase = Phase::Stopping { executor: executor.clone(), order };
                 let run = task.run;
                 let task = job.key(task_ref.1);
--- a/crates/jackdawpier_fleet/src/fleet/stops.rs
+++ b/crates/jackdawpier_fleet/src/fleet/stops.rs
@@ -115,7 +115,7 @@
         let job = self.jobs.get_mut(job)?;
         let key = job.key(*index);
         let task = &mut job.tasks[*index];
-        task.phase = Phase::Stopping { executor: id.clone(), order: StopOrder::UnderWay };
+        task.phase = Phase::Stopping { executor: id.clone(), order: StopOrder::InFlight };
         let (executor, run) = (id.clone(), task.run);
         Some(Command::Stop { executor, task: key, run, reason: StopReason::Repeated })
     }
--- a/crates/jackdawpier_fleet/src/job.rs
+++ b/crates/jackdawpier_fleet/src/job.rs
@@ -1,4 +1,4 @@
-//! A job in memory: its tasks, what of it may start, and how far its record is durable.
+//! The in-memory state of a job: its tasks, which of them may start, and how far its record is durable.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -14,41 +14,41 @@
     spec::{JobSpec, QueueName, Resources, RunNumber, StepSpec, Submission, TaskKey},
 };
 
-/// Place of a task in the flat list of its job.
+/// Index of a task in its job's flat list of tasks.
 pub type TaskIndex = usize;
 
-/// Where a task stands in this process.
+/// Phase of a task in this process.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum Phase {
-    /// Nothing of it runs anywhere.
+    /// The task isn't placed and doesn't run.
     Waiting,
-    /// Chosen for an executor; the placement isn't durable yet, so no order has left.
+    /// Assigned to an executor; the placement isn't durable yet, so no order has been sent.
     Planned { executor: ExecutorId },
-    /// The order to start is on its way, or its answer was lost.
+    /// The start order is in flight, or its answer was lost.
     Starting { executor: ExecutorId },
     /// The executor has confirmed the start.
     Running { executor: ExecutorId, since: Now },
-    /// An earlier owner placed it; the executor hasn't spoken under this ownership yet.
+    /// Placed by a previous owner; the executor hasn't reported to this owner yet.
     Inherited { executor: ExecutorId },
-    /// It has been ordered to stop.
+    /// The task has been ordered to stop.
     Stopping { executor: ExecutorId, order: StopOrder },
-    /// It has ended well.
+    /// The task completed successfully.
     Done,
 }
 
-/// How far an order to stop has come.
+/// Progress of a stop order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum StopOrder {
-    /// It is about to leave, or on its way.
-    UnderWay,
-    /// No try of it was taken; one may yet be carried out.
+    /// The order is about to be sent, or in flight.
+    InFlight,
+    /// No attempt was accepted; one may still be executed.
     Unanswered,
-    /// The executor has taken it.
+    /// The executor has accepted the order.
     Taken { at: Now },
 }
 
 impl Phase {
-    /// The executor on which the task takes room, if any.
+    /// Returns the executor on which the task allocates resources, if any.
     pub(crate) fn executor(&self) -> Option<&ExecutorId> {
         match self {
             Self::Waiting | Self::Done => None,
@@ -67,34 +67,36 @@
     pub(crate) run: RunNumber,
     /// Runs that ended in failure.
     failed_runs: Vec<RunNumber>,
-    /// Runs during which their executors crashed.
+    /// Runs during which the executor crashed.
     crashes: Vec<Crash>,
-    /// Runs since the first crash that certainly never began.
+    /// Runs after the first crash that certainly never started.
     refused_runs: Vec<RunNumber>,
-    /// Executors crash under it: it is tried again after a pause if it lasts, or else not started again.
+    /// The task is suspected of crashing executors: a long-running task is retried after a back-off, any other
+    /// isn't started again.
     pub(crate) is_given_up: bool,
-    /// The life of the executor that it was last placed on, if that is known.
+    /// Incarnation of the executor that the task was last placed on, if known.
     pub(crate) placed_incarnation: Option<IncarnationId>,
-    /// When the order for the present run left.
+    /// When the start order of the current run was sent.
     pub(crate) ordered_at: Now,
-    /// When it is known that this order has no answer, if its executor is asked before the run is stopped.
+    /// When the start order was found to have no answer, if the executor's report is awaited before the run is
+    /// stopped.
     pub(crate) unanswered_at: Option<Now>,
-    /// When the executor confirmed the present run; [`Now::ZERO`] if to an earlier owner.
+    /// When the executor confirmed the current run; [`Now::ZERO`] if to a previous owner.
     pub(crate) confirmed_at: Option<Now>,
     pub(crate) checkpoint: Box<str>,
-    /// Until then an order to stop the present run may still be carried out, though it was taken back.
+    /// Time until which a reverted order to stop the current run may still be executed.
     pub(crate) late_stop_until: Now,
-    /// When the executor last reported that the present run is there.
+    /// When the executor last reported the current run.
     pub(crate) last_reported_at: Option<Now>,
-    /// Last share of its full speed that the executor reported, in percent.
+    /// Last reported share of the full speed, in percent.
     pub(crate) speed_percent: u32,
-    /// Share of its full speed that was last ordered, in percent.
+    /// Last ordered share of the full speed, in percent.
     pub(crate) pace_percent: u32,
-    /// Since when it has been at work at full speed without a break.
+    /// Since when the task has been running at full speed without interruption.
     pub(crate) at_work_since: Option<Now>,
-    /// Not to be placed before this time.
+    /// Time before which the task isn't placed.
     pub(crate) not_before: Now,
-    /// Since when it has been startable without running.
+    /// Since when the task has been startable without running.
     pub(crate) waiting_since: Now,
 }
 
@@ -122,28 +124,28 @@
         }
     }
 
-    /// Its executor lists it though it was ordered to stop, and no try of that was taken: it goes on. One of them may
-    /// still be carried out within `late`.
-    pub(crate) fn revert_stop(&mut self, now: Now, late: Duration) {
+    /// Lets a task continue that its executor still reports, if no attempt to stop it was accepted. An attempt may
+    /// still be executed within `max_delay`.
+    pub(crate) fn revert_stop(&mut self, now: Now, max_delay: Duration) {
         if let Phase::Stopping { executor, order: StopOrder::Unanswered } = &self.phase {
             self.phase = Phase::Running { executor: executor.clone(), since: now };
-            self.late_stop_until = now + late;
+            self.late_stop_until = now + max_delay;
         }
     }
 
-    /// Counts a run that ended in failure, once however often it is reported.
+    /// Records a failed run; repeated reports count once.
     pub(crate) fn note_failure(&mut self, run: RunNumber) {
         if !self.failed_runs.contains(&run) {
             self.failed_runs.push(run);
         }
     }
 
-    /// Number of runs that ended in failure.
+    /// Returns the number of failed runs.
     pub(crate) fn failures(&self) -> u32 {
         self.failed_runs.len() as u32
     }
 
-    /// Counts a run during which its executor crashed, and returns whether that is news.
+    /// Records a run during which the executor crashed; returns false if it is already known.
     pub(crate) fn note_crash(&mut self, crash: Crash) -> bool {
         let is_new = self.crashes.iter().all(|known| known.run != crash.run);
         if is_new {
@@ -152,15 +154,14 @@
         is_new
     }
 
-    /// Another task turned out to be the cause of the crash of this run, unless this one was watched;
-    /// returns whether that is news.
+    /// Attributes the crash of a run to another task, unless the start of this one was isolated; returns whether
+    /// anything changed.
     pub(crate) fn attribute_crash_elsewhere(&mut self, run: RunNumber) -> bool {
         let crash = self.crashes.iter_mut().find(|crash| crash.run == run && !crash.is_isolated);
         crash.is_some_and(|crash| !std::mem::replace(&mut crash.has_other_cause, true))
     }
 
-    /// The executor lived on long enough for it to be no cause of earlier crashes; returns whether there were
-    /// any.
+    /// Clears the crashes of a task that has run long enough not to be their cause; returns whether there were any.
     pub(crate) fn clear_crashes(&mut self) -> bool {
         let is_new = self.is_given_up || !self.crashes.is_empty();
         self.is_given_up = false;
@@ -169,15 +170,16 @@
         is_new
     }
 
-    /// Its present run was refused, so it is no start that counts; unless its executor may have crashed under it.
+    /// Records that the current run was refused, so that it doesn't count as a start, unless the executor may have
+    /// crashed during it.
     pub(crate) fn note_refused(&mut self) {
-        let is_open = self.crashes.iter().all(|crash| crash.run != self.run);
-        if is_open && !self.crashes.is_empty() && !self.refused_runs.contains(&self.run) {
+        let has_no_crash = self.crashes.iter().all(|crash| crash.run != self.run);
+        if has_no_crash && !self.crashes.is_empty() && !self.refused_runs.contains(&self.run) {
             self.refused_runs.push(self.run);
         }
     }
 
-    /// Whether executors have crashed under it so often that it isn't started again.
+    /// Returns whether the crashes of its executors keep the task from being started again.
     pub(crate) fn is_given_up_after_crashes(&self, lasts: bool) -> bool {
         is_given_up(&self.crashes, self.run, &self.refused_runs, lasts)
     }
@@ -186,7 +188,7 @@
         &self.crashes
     }
 
-    /// For how long it is watched once it starts; none if it isn't.
+    /// Returns for how long the start of the task is isolated; `None` if it isn't.
     pub(crate) fn isolation_time(&self, lasts: bool) -> Option<Duration> {
         isolation_time(&self.crashes, lasts)
     }
@@ -212,12 +214,12 @@
     }
 }
 
-/// One step of one occurrence.
+/// Progress of one step of one occurrence.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct StepProgress {
-    /// Tasks that are not done yet.
+    /// Number of tasks that haven't completed yet.
     pub(crate) remaining: u32,
-    /// Its tasks may start.
+    /// Whether the tasks may start.
     pub(crate) is_open: bool,
 }
 
@@ -229,32 +231,32 @@
     pub(crate) spec: Arc<JobSpec>,
     pub(crate) tasks: Vec<Task>,
     pub(crate) progress: Vec<StepProgress>,
-    /// When each occurrence began: at its due time, or with the job's acceptance.
+    /// When each occurrence began: at its due time, or at the job's acceptance.
     began_at: Vec<Now>,
-    /// Tasks that wait for an executor, in the order in which they are tried.
+    /// Queue of the tasks that wait for an executor.
     pub(crate) startable: VecDeque<TaskIndex>,
-    /// When some of them last got one.
+    /// When a task of the job was last placed.
     pub(crate) last_placed_at: Option<Now>,
     pub(crate) outcome: Option<JobOutcome>,
-    /// Time of day at which it was over.
+    /// Time of the job's end, in milliseconds since 1970.
     pub(crate) ended_ms: u64,
     pub(crate) is_cancelled: bool,
     pub(crate) has_begun: bool,
-    /// An earlier owner ordered some task more than once.
+    /// Whether a previous owner ordered any task to start more than once.
     had_rerun: bool,
-    /// Estimated time from each step to the end.
+    /// Estimated time of the longest chain from each step to the end.
     pub(crate) remaining_chains: Vec<Duration>,
     first_task_of_step: Vec<usize>,
     tasks_per_occurrence: usize,
-    /// Counts changes of the durable state.
+    /// Number of changes of the state to persist.
     pub(crate) changes: u64,
-    /// Executors with ends that are durable once that many changes are.
+    /// Executors with unacknowledged ends, each with the number of changes that must be durable first.
     pub(crate) unacknowledged_ends: Vec<(u64, ExecutorId)>,
     pub(crate) durable_changes: u64,
     pub(crate) is_writing: bool,
     pub(crate) is_dirty: bool,
     pub(crate) revision: Revision,
-    /// The outcome as far as it is durable: what callers may be told.
+    /// The outcome, once it is durable and may be shown to callers.
     pub(crate) durable_outcome: Option<JobOutcome>,
 }
 
@@ -272,7 +274,7 @@
             .collect();
         let tasks_per_occurrence = spec.steps.iter().map(|step| step.count as usize).sum();
         let occurrences = spec.occurrences() as usize;
-        let one: Vec<StepProgress> = spec
+        let occurrence_progress: Vec<StepProgress> = spec
             .steps
             .iter()
             .map(|step| StepProgress { remaining: step.count, is_open: false })
@@ -282,7 +284,7 @@
             queue: submission.queue,
             account: submission.account,
             tasks: vec![Task::new(); tasks_per_occurrence * occurrences],
-            progress: one.repeat(occurrences),
+            progress: occurrence_progress.repeat(occurrences),
             began_at: vec![accepted_at; occurrences],
             startable: VecDeque::new(),
             last_placed_at: None,
@@ -305,22 +307,22 @@
         }
     }
 
-    /// Takes over what an earlier owner wrote. Placed tasks become doubtful.
+    /// Restores the record of a previous owner. Placed tasks become [`Phase::Inherited`].
     pub(crate) fn restore(&mut self, record: &JobRecord, revision: Revision) {
         self.revision = revision;
         self.outcome = record.outcome;
         self.durable_outcome = record.outcome;
         self.has_begun = record.has_begun;
         self.had_rerun = record.has_rerun;
-        for (index, (task, known)) in self.tasks.iter_mut().zip(&record.tasks).enumerate() {
-            task.run = known.run;
-            task.failed_runs.clone_from(&known.failed_runs);
-            task.crashes.clone_from(&known.crashes);
-            task.refused_runs.clone_from(&known.refused_runs);
-            task.is_given_up = known.is_given_up;
-            task.placed_incarnation = known.placed_incarnation;
-            task.checkpoint.clone_from(&known.checkpoint);
-            match &known.status {
+        for (index, (task, stored)) in self.tasks.iter_mut().zip(&record.tasks).enumerate() {
+            task.run = stored.run;
+            task.failed_runs.clone_from(&stored.failed_runs);
+            task.crashes.clone_from(&stored.crashes);
+            task.refused_runs.clone_from(&stored.refused_runs);
+            task.is_given_up = stored.is_given_up;
+            task.placed_incarnation = stored.placed_incarnation;
+            task.checkpoint.clone_from(&stored.checkpoint);
+            match &stored.status {
                 TaskStatus::Waiting => {}
                 TaskStatus::Placed(executor) => {
                     task.phase = Phase::Inherited { executor: executor.clone() };
@@ -336,6 +338,7 @@
         }
     }
 
+    /// Returns the durable record of the current state.
     pub(crate) fn record(&self) -> JobRecord {
         let tasks = match self.outcome {
             Some(_) => Vec::new(),
@@ -352,7 +355,8 @@
         }
     }
 
-    /// What may still be running of a job that is over; none if nothing is, or nobody's cap covers it.
+    /// Returns the resources that a finished job may still use; `None` if there are none, or if the job belongs to
+    /// no account.
     fn remains(&self) -> Option<LeftoverUsage> {
         self.account.as_ref().filter(|_| self.is_over())?;
         let mut amount = Resources::default();
@@ -365,10 +369,10 @@
             .then_some(LeftoverUsage { amount, ended_ms: self.ended_ms })
     }
 
-    /// Whether a task may have been started again after this run of it.
+    /// Returns whether a task may have been started again after this run.
     pub(crate) fn may_be_superseded(&self, index: TaskIndex, run: RunNumber) -> bool {
         let task = &self.tasks[index];
-        // What an earlier owner wrote of a job that is over doesn't name its runs any more.
+        // The record of a finished job from a previous owner doesn't contain its runs any more.
         task.run > run || (task.run == 0 && self.had_rerun)
     }
 
@@ -384,13 +388,13 @@
         &self.spec.steps[self.step_number(index)]
     }
 
-    /// Number of the step of the occurrence that the task belongs to, over all occurrences.
+    /// Returns the slot of a task: the index of its step over the steps of all occurrences.
     pub(crate) fn slot(&self, index: TaskIndex) -> usize {
         let occurrence = index / self.tasks_per_occurrence;
         occurrence * self.spec.steps.len() + self.step_number(index)
     }
 
-    /// All tasks of a slot, see [`Self::slot`].
+    /// Returns all tasks of a slot, see [`Self::slot`].
     pub(crate) fn tasks_of(&self, slot: usize) -> std::ops::Range<TaskIndex> {
         let (occurrence, step) = (slot / self.spec.steps.len(), slot % self.spec.steps.len());
         let first = occurrence * self.tasks_per_occurrence + self.first_task_of_step[step];
@@ -420,7 +424,7 @@
         })
     }
 
-    /// Opens the steps whose turn has come.
+    /// Opens the steps that are due and whose dependencies have completed.
     pub(crate) fn open_steps(&mut self, now: Now, wall_ms: u64) {
         if self.is_over() || self.is_cancelled {
             return;
@@ -440,8 +444,8 @@
             if is_due && is_ready {
                 self.progress[slot].is_open = true;
                 if let Some(due_ms) = self.due_ms(occurrence) {
-                    let late = Duration::from_millis(wall_ms.saturating_sub(due_ms));
-                    self.began_at[occurrence] = now.saturating_sub(late);
+                    let delay = Duration::from_millis(wall_ms.saturating_sub(due_ms));
+                    self.began_at[occurrence] = now.saturating_sub(delay);
                 }
                 for index in self.tasks_of(slot) {
                     if self.tasks[index].phase == Phase::Waiting {
@@ -452,27 +456,27 @@
         }
     }
 
-    /// Puts a task at the end of those that wait for an executor, if it may be started.
+    /// Appends a task to the queue of startable tasks, unless its crashes keep it from starting now.
     pub(crate) fn enqueue(&mut self, now: Now, index: TaskIndex) {
         if self.retry(index) == Retry::AtOnce {
             self.enqueue_now(now, index);
         }
     }
 
-    /// Puts a task there again that was held back for its crashes.
+    /// Appends a task to the queue of startable tasks, also after a crash back-off.
     pub(crate) fn enqueue_now(&mut self, now: Now, index: TaskIndex) {
         self.tasks[index].waiting_since = now;
         self.startable.push_back(index);
     }
 
-    /// When a task starts again, by the crashes under it.
+    /// Returns when a task may start again, given the crashes of its executors.
     pub(crate) fn retry(&self, index: TaskIndex) -> Retry {
         let (step, task) = (self.step(index), &self.tasks[index]);
         if !step.is_long_running || step.is_gang {
             return if task.is_given_up { Retry::Never } else { Retry::AtOnce };
         }
         match retry(&task.crashes, task.run, &task.refused_runs) {
-            // It has paused before the run that was refused.
+            // The back-off already passed before the run that was refused.
             Retry::After(_) if task.refused_runs.contains(&task.run) => {
                 Retry::After(Duration::ZERO)
             }
@@ -480,19 +484,19 @@
         }
     }
 
-    /// Whether a task that lasts is on trial when it starts.
+    /// Returns whether the next start of a long-running task is on probation.
     pub(crate) fn is_on_probation(&self, index: TaskIndex) -> bool {
         let step = self.step(index);
         step.is_long_running && !step.is_gang && is_on_probation(&self.tasks[index].crashes)
     }
 
-    /// Time of day at which an occurrence is due; none for a job without a schedule.
+    /// Returns the due time of an occurrence, in milliseconds since 1970; `None` for a job without a schedule.
     pub(crate) fn due_ms(&self, occurrence: usize) -> Option<u64> {
         let schedule = self.spec.schedule?;
         Some(schedule.first_ms + schedule.interval_ms * occurrence as u64)
     }
 
-    /// Marks the tasks of a gang that don't run as done, since another member's end counts for all.
+    /// Marks the waiting tasks of a gang as done, since the end of one member counts for all.
     pub(crate) fn finish_waiting(&mut self, slot: usize) {
         for index in self.tasks_of(slot) {
             if self.tasks[index].phase == Phase::Waiting {
@@ -502,31 +506,31 @@
         }
     }
 
-    /// Whether a task that was ordered to stop may as well go on: what its order was for can wait until its step can spare
-    /// it, or hasn't come true.
+    /// Returns whether a task that was ordered to stop may continue: the reason of the stop can wait until the step
+    /// may lose a task, or no longer applies.
     pub(crate) fn may_continue(&self, index: TaskIndex) -> bool {
         let step = self.step(index);
         step.is_long_running && !step.is_gang && !self.is_over()
     }
 
-    /// Whether some of its tasks run until it is cancelled.
+    /// Returns whether any task runs until the job is cancelled.
     pub(crate) fn has_long_running_tasks(&self) -> bool {
         self.spec.steps.iter().any(|step| step.is_long_running)
     }
 
-    /// When the occurrence began that its next task belongs to.
+    /// Returns when the occurrence of the next startable task began.
     pub(crate) fn next_occurrence_began_at(&self) -> Now {
         let next = self.startable.front().copied().unwrap_or(0);
         self.began_at[next / self.tasks_per_occurrence.max(1)]
     }
 
-    /// Whether occurrences are still to come.
+    /// Returns whether occurrences are still to be opened.
     pub(crate) fn has_unopened_occurrence(&self) -> bool {
         self.spec.schedule.is_some()
             && self.progress.iter().any(|slot| !slot.is_open && slot.remaining > 0)
     }
 
-    /// The estimated time that the job still needs once its next tasks start.
+    /// Returns the estimated time that the job needs once its next tasks start.
     pub(crate) fn remaining_estimate(&self) -> Duration {
         let steps = self.spec.steps.len();
         self.progress
@@ -538,7 +542,7 @@
             .unwrap_or_default()
     }
 
-    /// The estimated time of the longest chain of the whole job.
+    /// Returns the estimated time of the longest chain of the whole job.
     pub(crate) fn longest_chain(&self) -> Duration {
         self.remaining_chains.iter().copied().max().unwrap_or_default()
     }
--- a/crates/jackdawpier_fleet/src/machines.rs
+++ b/crates/jackdawpier_fleet/src/machines.rs
@@ -1,4 +1,4 @@
-//! Machines: which pool they are in, what is being done with them, and waves of maintenance.
+//! Machines: their pools, operations in progress (moves and maintenance), and maintenance waves.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,49 +13,49 @@
 
 use crate::{fleet::LossEvidence, sorted_hash_map::SortedHashMap, spec::Label};
 
-/// Name of a machine, which it keeps over the lives of its executors.
+/// Name of a machine, which stays the same when its executor changes.
 pub type MachineId = Arc<str>;
-/// Number of a wave of maintenance.
+/// Number of a maintenance wave.
 pub type WaveNumber = u64;
 
-/// What the platform says of a machine's state.
+/// State of a machine, as reported by the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineState {
-    /// It runs, or is switched off in a standby pool.
+    /// The machine runs, or is switched off in a standby pool.
     Up,
-    /// It is on its way to another pool.
+    /// The machine is moving to another pool.
     Moving,
-    /// It is away for maintenance.
+    /// The machine is under maintenance.
     Maintenance,
-    /// It has failed.
+    /// The machine has failed.
     Down,
 }
 
 /// A machine as the platform lists it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct MachineInfo {
-    /// Its name.
+    /// Name of the machine.
     pub id: MachineId,
-    /// The pool it is in.
+    /// Pool that the machine is in.
     pub pool: PoolName,
-    /// Its state.
+    /// State of the machine.
     pub state: MachineState,
-    /// The executor that lives on it, if one does.
+    /// Executor that runs on the machine, if any.
     pub executor: Option<ExecutorId>,
-    /// Its capabilities; a pool takes machines of its own kind only.
+    /// Capabilities of the machine; a pool only accepts machines of its own kind.
     pub labels: Vec<Label>,
 }
 
-/// A wave of maintenance as operators ask for it.
+/// A maintenance wave as requested by operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Wave {
-    /// Its number.
+    /// Number of the wave.
     pub number: WaveNumber,
-    /// The machines to be maintained.
+    /// Machines to maintain.
     pub machines: Vec<MachineId>,
-    /// From its announcement all have to be maintained within this time.
+    /// Time from the announcement within which all machines must be maintained.
     pub within: Duration,
-    /// Most machines of it that may be away at once.
+    /// Maximum number of machines of the wave that may be away at once.
     pub max_away: usize,
 }
 
@@ -64,78 +64,82 @@
 pub struct MachineOrder {
     /// The machine.
     pub machine: MachineId,
-    /// What is to happen.
+    /// Kind of work.
     pub work: MachineWork,
 }
 
-/// What is to happen to a machine.
+/// Work on a machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MachineWork {
-    /// It changes its pool.
+    /// Move to another pool.
     Move(PoolName),
-    /// It is maintained for a wave.
+    /// Maintenance for a wave.
     Maintain(WaveNumber),
 }
 
-/// How an order about a machine ended.
+/// Outcome of an order about a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineOrderOutcome {
-    /// It is being carried out, or was before.
+    /// The order is being executed, or has been executed before.
     Taken,
-    /// The machine isn't up; ask later.
+    /// The machine isn't up; retry later.
     Busy,
-    /// It can't be carried out at all.
+    /// The order can never be executed.
     Refused,
-    /// It may or may not be carried out.
+    /// The order may or may not be executed.
     Unanswered,
-    /// Nothing was done; ask later.
+    /// Nothing was done; retry later.
     NotTaken,
 }
 
-/// The state of a wave, for operators and for a later owner.
+/// State of a wave, for operators and for the next owner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WaveState {
-    /// Its number.
+    /// Number of the wave.
     pub number: WaveNumber,
-    /// All of its machines have been maintained.
+    /// Whether all machines of the wave have been maintained.
     pub is_completed: bool,
-    /// Those that have.
+    /// Machines that have been maintained.
     pub maintained: Vec<MachineId>,
 }
 
+/// Stage of an operation on a machine.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) enum OperationStage {
-    /// No new work goes there; what runs may end.
+    /// The executor gets no new work; running tasks may end or are moved away.
     Vacating { since: Now },
-    /// The order has left. While its end isn't known no other may leave: an answer tells of one order, and would be
-    /// taken for the end of all.
+    /// The order has been sent. No other is sent until its outcome is known: an answer belongs to one order,
+    /// and would be mistaken for the outcome of all.
     Ordered { at: Now, is_in_flight: bool },
-    /// The order was taken; the machine comes back with another executor.
+    /// The order was accepted; the machine returns with another executor.
     Away { since: Now },
 }
 
+/// A move or maintenance of a machine in progress.
 #[derive(Debug, Clone)]
 pub(crate) struct MachineOperation {
     pub(crate) work: MachineWork,
     pub(crate) stage: OperationStage,
-    /// The executor that lived there when it began.
+    /// Executor that ran on the machine when the operation began.
     pub(crate) executor: Option<ExecutorId>,
-    /// Not to be ordered before this time, after a refusal.
+    /// Time before which no order is sent, after a refusal.
     pub(crate) not_before: Now,
-    /// Until then an order that wasn't answered may still be carried out, whatever becomes of later ones.
+    /// Time until which an unanswered order may still be executed, whatever the outcome of later ones.
     pub(crate) may_execute_until: Now,
-    /// Tasks that ran there when it was last looked at.
+    /// Number of tasks on the machine at the last check.
     pub(crate) tasks: usize,
-    /// When it began, or a task last left the machine.
+    /// When the operation began, or a task last left the machine.
     pub(crate) last_progress_at: Now,
 }
 
 impl MachineOperation {
+    /// Returns whether the order has been sent, so that the machine may be away.
     pub(crate) fn is_away(&self) -> bool {
         !matches!(self.stage, OperationStage::Vacating { .. })
     }
 }
 
+/// Progress of a maintenance wave.
 #[derive(Debug)]
 pub(crate) struct WaveProgress {
     pub(crate) wave: Wave,
@@ -146,6 +150,7 @@
 }
 
 impl WaveProgress {
+    /// Returns whether a machine is neither maintained nor refused yet.
     pub(crate) fn is_pending(&self, machine: &MachineId) -> bool {
         !self.maintained.contains(machine) && !self.refused.contains(machine)
     }
@@ -159,28 +164,28 @@
     }
 }
 
-/// Machines and what is being done with them.
+/// Tracks the machines, the operations in progress and the maintenance waves.
 #[derive(Debug)]
 pub(crate) struct Machines {
-    /// Orders of an earlier holder may still arrive before this time, about any machine until it is
-    /// known which ones it ordered lately.
+    /// Time until which orders of a previous owner may still arrive, about any machine until it is known which
+    /// machines were ordered recently.
     pub(crate) orders_allowed_from: Now,
-    /// The machines that it ordered lately, with that time.
+    /// Machines that a previous owner ordered recently, each with the time until which its order may arrive.
     locked_until: BTreeMap<MachineId, Now>,
     pub(crate) listed: BTreeMap<MachineId, MachineInfo>,
     pub(crate) has_listing: bool,
-    /// When the last list was asked for; before the first, when this owner began.
+    /// When the last list was requested; before the first list, the start of this owner.
     last_listing_at: Now,
-    /// How long after the one before, or after this owner's begin, the last list was asked for.
+    /// Time between the requests of the last list and the one before, or the start of this owner.
     last_listing_gap: Duration,
     pub(crate) operations: BTreeMap<MachineId, MachineOperation>,
     pub(crate) waves: BTreeMap<WaveNumber, WaveProgress>,
-    /// Pools that don't take a machine, since they are of other machines.
+    /// Moves that a pool refused because it only accepts machines of another kind.
     pub(crate) refused_moves: BTreeSet<(MachineId, PoolName)>,
     machine_of: SortedHashMap<ExecutorId, MachineId>,
-    /// The list doesn't name all executors yet: one of them may live on any machine that seems idle.
+    /// Set while the list doesn't name all executors: any machine that seems idle may run one of them.
     pub(crate) may_be_occupied: bool,
-    /// Machines whose executor's life was over after the last list: another one may be there by now.
+    /// Machines whose executor ended after the last list, and which may run another one by now.
     stale_machines: BTreeSet<MachineId>,
 }
 
@@ -202,17 +207,18 @@
         }
     }
 
-    /// An executor's life is over, as the list doesn't show yet.
+    /// Records the end of an executor that the list doesn't show yet.
     pub(crate) fn note_executor_ended(&mut self, executor: &ExecutorId) {
         self.stale_machines.extend(self.machine_of.get(executor).cloned());
     }
 
-    /// Whether the last list tells which executor lives on a machine.
+    /// Returns whether the last list is current about the executor on a machine.
     pub(crate) fn knows_executor(&self, machine: &MachineId) -> bool {
         !self.stale_machines.contains(machine)
     }
 
-    /// Only these machines were ordered lately by an earlier holder, at least so long ago.
+    /// Restricts the lock to the machines that a previous owner ordered recently, with the minimum age of each
+    /// order.
     pub(crate) fn restore_recent_orders(&mut self, now: Now, machines: Vec<(MachineId, Duration)>) {
         let until = std::mem::replace(&mut self.orders_allowed_from, now);
         let locked_until = machines.into_iter();
@@ -220,24 +226,24 @@
             locked_until.map(|(machine, age)| (machine, until.saturating_sub(age))).collect();
     }
 
-    /// When a machine may be ordered first.
+    /// Returns the earliest time at which an order about a machine may be sent.
     pub(crate) fn orderable_from(&self, machine: &MachineId) -> Now {
         self.locked_until
             .get(machine)
             .map_or(self.orders_allowed_from, |until| self.orders_allowed_from.max(*until))
     }
 
-    /// Whether an earlier holder's order about a machine may still arrive.
+    /// Returns whether a previous owner's order about a machine may still arrive.
     pub(crate) fn is_locked(&self, now: Now, machine: &MachineId) -> bool {
         now < self.orderable_from(machine)
     }
 
-    /// The same of the machine on which an executor lives.
+    /// Returns whether a previous owner's order about the machine of an executor may still arrive.
     pub(crate) fn is_executor_locked(&self, now: Now, executor: &ExecutorId) -> bool {
         self.machine_of.get(executor).is_some_and(|machine| self.is_locked(now, machine))
     }
 
-    /// Takes in a listing, and returns on which machines executors lived by the one before.
+    /// Applies a list of machines, and returns the executors' machines by the list before.
     pub(crate) fn apply_listing(
         &mut self,
         asked_at: Now,
@@ -251,7 +257,7 @@
         self.stale_machines.clear();
         self.listed = machines.into_iter().map(|info| (info.id.clone(), info)).collect();
         for (machine, operation) in &mut self.operations {
-            // It may have failed and come back before its turn came.
+            // The machine may have failed and returned before it was ordered.
             if let (OperationStage::Vacating { .. }, Some(info)) =
                 (&operation.stage, self.listed.get(machine))
             {
@@ -264,14 +270,14 @@
         former
     }
 
-    /// The executors that the last listing names.
+    /// Returns the executors that the last list names.
     pub(crate) fn listed_executors(&self) -> impl Iterator<Item = &ExecutorId> {
         self.machine_of.keys()
     }
 
-    /// Why an executor isn't named any more: its machine was moved or maintained, by this owner's order or an
-    /// earlier one's, or it has crashed; `machine` is the one that it was last listed on. An order alone proves
-    /// nothing: one that had been carried out before changes nothing.
+    /// Returns why an executor isn't listed any more: its machine was moved or maintained by an order of this or
+    /// a previous owner, or it crashed; `machine` is the one that it was last listed on. An order by itself is no
+    /// proof, since it may have been executed before and then changes nothing.
     pub(crate) fn loss_evidence(
         &self,
         executor: &ExecutorId,
@@ -288,12 +294,13 @@
         if is_ordered { LossEvidence::PerhapsTaken } else { LossEvidence::Unlisted }
     }
 
-    /// For how long no list was seen before the last one, or has been since.
+    /// Returns the time without a list before the last one, or since it, whichever is longer.
     pub(crate) fn listing_gap(&self, now: Now) -> Duration {
         self.last_listing_gap.max(now.saturating_sub(self.last_listing_at))
     }
 
-    /// When an order about the machine of an executor left or was taken; none if this owner hasn't ordered it.
+    /// Returns when an order about the machine of an executor was sent or accepted; `None` if this owner hasn't
+    /// sent one.
     pub(crate) fn ordered_at(&self, executor: &ExecutorId) -> Option<Now> {
         let of_executor =
             |operation: &&MachineOperation| operation.executor.as_ref() == Some(executor);
@@ -303,34 +310,34 @@
         })
     }
 
-    /// The machine on which an executor lives by the last listing.
+    /// Returns the machine of an executor by the last list.
     pub(crate) fn machine_of(&self, executor: &ExecutorId) -> Option<&MachineId> {
         self.machine_of.get(executor)
     }
 
-    /// Whether an executor lives on some machine by the last listing.
+    /// Returns whether the last list names an executor.
     pub(crate) fn is_executor_listed(&self, executor: &ExecutorId) -> bool {
         self.machine_of.contains_key(executor)
     }
 
-    /// Executors that get no new work, since their machines are about to be taken.
+    /// Returns the executors that get no new work because their machines are about to be moved or maintained.
     pub(crate) fn vacating_executors(&self) -> impl Iterator<Item = &ExecutorId> {
         self.operations.iter().filter_map(|(machine, operation)| {
             let executor = operation.executor.as_ref()?;
-            // One that is being taken isn't listed any more, though the registry names it a while longer.
+            // An executor whose order was sent may be unlisted, while the registry names it a while longer.
             let is_there = operation.is_away() || self.machine_of.get(executor) == Some(machine);
             is_there.then_some(executor)
         })
     }
 
-    /// Whether the order that ends an executor has left.
+    /// Returns whether the order that ends an executor has been sent.
     pub(crate) fn is_leaving(&self, executor: &ExecutorId) -> bool {
         self.machine_of.get(executor).and_then(|machine| self.operations.get(machine)).is_some_and(
             |operation| operation.is_away() && operation.executor.as_ref() == Some(executor),
         )
     }
 
-    /// Whether the machine of an executor has maintenance to come.
+    /// Returns whether the machine of an executor is still to be maintained in a wave.
     pub(crate) fn has_pending_maintenance(&self, executor: &ExecutorId) -> bool {
         self.machine_of.get(executor).is_some_and(|machine| {
             self.waves.values().any(|one| {
