--- a/crates/jackdawpier_fleet/tests/rooms.rs
+++ b/crates/jackdawpier_fleet/tests/changing_capacity.rs
@@ -1,5 +1,5 @@
-//! The room of an executor may shrink while it runs, and grow again. The world checks that no start brings
-//! one over its room that takes whatever it is told.
+//! The capacity of an executor may shrink and grow while it runs. Unguarded executors accept every
+//! start, and the world checks that none exceeds their capacity.
 
 mod world;
 
@@ -14,7 +14,7 @@
 
 fn resize(world: &mut World, machine: &str, cores: u64) {
     let id = world.executor_of(machine);
-    world.executors.get_mut(&id).expect("it lives").resize(room(cores));
+    world.executors.get_mut(&id).expect("the executor runs").resize(room(cores));
 }
 
 fn unguarded_world(executors: usize) -> World {
@@ -23,9 +23,10 @@
     world
 }
 
-/// Work comes all the while; what runs there goes on, and no more is started until it has ended.
+/// Running tasks continue on an executor that shrinks, and no more are started there until they
+/// have ended.
 #[test]
-fn shrunk_room() {
+fn shrunk_capacity() {
     let mut world = unguarded_world(2);
     for round in 0..30 {
         world.submit(&format!("j-{round}"), "q-view", job(vec![step(5, 2, 700)]));
@@ -43,9 +44,9 @@
     }
 }
 
-/// Room that is back is used within a second.
+/// Restored capacity is used within a second.
 #[test]
-fn grown_room() {
+fn grown_capacity() {
     let mut world = unguarded_world(1);
     resize(&mut world, "m-view-0", 2);
     world.run_for(Duration::from_secs(1));
@@ -57,7 +58,7 @@
     assert_eq!(outcome, Some(JobOutcome::Completed));
 }
 
-/// A gang that was placed when there was room for it.
+/// The capacity shrinks below the members of a running gang.
 #[test]
 fn shrunk_under_gang() {
     let mut world = unguarded_world(3);
--- a/crates/jackdawpier_fleet/tests/beside_lasting.rs
+++ b/crates/jackdawpier_fleet/tests/defragmentation.rs
@@ -1,4 +1,5 @@
-//! Work that would have room if lasting work stood otherwise: nothing that ends makes room for it, so it waited for ever.
+//! Defragmentation: tasks that would have room if long-running tasks were placed differently. No
+//! ending task makes room for them, so they waited forever.
 
 mod world;
 
@@ -9,14 +10,14 @@
 use rand_chacha::ChaCha8Rng;
 use world::{World, job, step};
 
-/// Random histories in an ordinary run; more by `HISTORIES=2000`.
+/// Number of random histories by default; override with `HISTORIES=2000`.
 const HISTORIES: u64 = 30;
 
-/// Work waits for no longer than this beside lasting work that can stand elsewhere.
+/// Maximum wait of a task for long-running tasks that can run elsewhere.
 const ROOM_WITHIN: Duration = Duration::from_secs(12);
 
-/// Lasting tasks that may stand together.
-fn lasting(count: u32, cores: u64) -> StepSpec {
+/// A long-running step whose tasks may share an executor.
+fn long_running(count: u32, cores: u64) -> StepSpec {
     StepSpec { is_long_running: true, may_miss: 1, ..step(count, cores, 0) }
 }
 
@@ -24,12 +25,12 @@
     StepSpec { is_gang: true, ..step(count, cores, 500) }
 }
 
-/// Two executors without any other machine; a lasting task of three cores stands on each.
-fn spread(may_miss: u32) -> World {
+/// Two executors without any other machine, each running a long-running task of three cores.
+fn two_spread_tasks(may_miss: u32) -> World {
     let mut world = World::new(&["view"], 2);
     world.submit("first", "q-view", job(vec![step(2, 5, 3_000)]));
     world.run_for(Duration::from_millis(300));
-    world.submit("lasting", "q-view", job(vec![StepSpec { may_miss, ..lasting(2, 3) }]));
+    world.submit("lasting", "q-view", job(vec![StepSpec { may_miss, ..long_running(2, 3) }]));
     world.run_for(Duration::from_secs(4));
     assert_eq!(world.at_work_of("lasting"), 2);
     world
@@ -40,31 +41,31 @@
     assert_eq!(outcome, Some(JobOutcome::Completed), "{:?}", world.fleet.view(id));
 }
 
-/// A task waited for ever though one lasting task could join the other.
+/// A task waited forever although one long-running task could move to the other's executor.
 #[test]
-fn no_machine_left() {
-    let mut world = spread(1);
+fn joins_other_task() {
+    let mut world = two_spread_tasks(1);
     world.submit("large", "q-view", job(vec![step(1, 6, 500)]));
     assert_done(&mut world, "large");
     world.run_for(Duration::from_secs(3));
     assert_eq!(world.at_work_of("lasting"), 2);
 }
 
-/// The same beside a step that says nothing of what it may miss.
+/// The same with a long-running step that sets no limit on missed tasks.
 #[test]
-fn without_budget() {
-    let mut world = spread(0);
+fn without_limit() {
+    let mut world = two_spread_tasks(0);
     world.submit("large", "q-view", job(vec![step(1, 6, 500)]));
     assert_done(&mut world, "large");
 }
 
 /// The same for a gang that needs room on three executors at once.
 #[test]
-fn gang_at_once() {
+fn gang_room() {
     let mut world = World::new(&["view"], 3);
     world.submit("first", "q-view", job(vec![step(3, 6, 3_000)]));
     world.run_for(Duration::from_millis(300));
-    world.submit("lasting", "q-view", job(vec![lasting(3, 2)]));
+    world.submit("lasting", "q-view", job(vec![long_running(3, 2)]));
     world.run_for(Duration::from_secs(4));
     world.submit("gang", "q-view", job(vec![gang(4, 4)]));
     assert_done(&mut world, "gang");
@@ -72,10 +73,10 @@
     assert_eq!(world.at_work_of("lasting"), 3);
 }
 
-/// Other work comes all the while and takes each gap.
+/// Other tasks keep arriving and take each gap.
 #[test]
-fn busy_beside() {
-    let mut world = spread(1);
+fn busy_pool() {
+    let mut world = two_spread_tasks(1);
     world.submit("large", "q-view", job(vec![step(1, 6, 500)]));
     for number in 0..60 {
         world.submit(&format!("other-{number}"), "q-view", job(vec![step(2, 2, 400)]));
@@ -84,13 +85,13 @@
     assert_eq!(world.fleet.view("large"), Some(JobView::Over(JobOutcome::Completed)));
 }
 
-/// Two tasks stand in the way and their step allows one to be away: they leave one after the other.
+/// Two tasks block the room and their step may miss one, so they are moved one after the other.
 #[test]
 fn one_by_one() {
     let mut world = World::new(&["view"], 2);
     world.submit("first", "q-view", job(vec![step(2, 5, 3_000)]));
     world.run_for(Duration::from_millis(300));
-    world.submit("lasting", "q-view", job(vec![lasting(5, 1)]));
+    world.submit("lasting", "q-view", job(vec![long_running(5, 1)]));
     world.run_for(Duration::from_secs(4));
     world.submit("large", "q-view", job(vec![step(1, 8, 500)]));
     assert_done(&mut world, "large");
@@ -98,10 +99,10 @@
     assert_eq!(world.at_work_of("lasting"), 5);
 }
 
-/// No move makes room for all of a gang, so nothing moves for it.
+/// No relocation makes room for the whole gang, so none is started.
 #[test]
-fn nothing_in_vain() {
-    let mut world = spread(1);
+fn impossible_gang() {
+    let mut world = two_spread_tasks(1);
     world.submit("large", "q-view", job(vec![step(2, 6, 500)]));
     world.run_for(Duration::from_secs(4));
     let stops = world.lasting.gaps.len();
@@ -110,31 +111,33 @@
     assert!(world.lasting.gaps.len() <= stops + 1, "{:?}", world.lasting.gaps);
 }
 
-/// Executors fail and are cut off, owners change and other work comes while room is made; no step misses more than it may,
-/// which the world checks at each order.
+/// Executors crash and are disconnected, owners change and other tasks arrive during
+/// defragmentation. No step misses more tasks than it may, which the world checks at each order.
 #[test]
-fn faults_meanwhile() {
+fn random_faults() {
     let number = |name: &str| std::env::var(name).ok().and_then(|text| text.parse::<u64>().ok());
     let first = number("FIRST").unwrap_or(0);
     for seed in first..first + number("HISTORIES").unwrap_or(HISTORIES) {
         println!("seed {seed}");
-        play(seed);
+        run_history(seed);
     }
 }
 
-fn play(seed: u64) {
+fn run_history(seed: u64) {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    // One more than the large work needs: what has run something twice takes no more work.
+    // One executor more than the large job needs, since an executor that is frozen after a task ran
+    // twice accepts no more work.
     let mut world = World::new(&["view"], 4);
     world.restarts_keep_ids = random.random_bool(0.5);
-    // Lasting tasks come beside work that fills most of each executor, so they are spread.
+    // The long-running tasks are submitted while other tasks fill most of each executor, so they
+    // are spread.
     world.submit("first", "q-view", job(vec![step(4, 6, 2_000)]));
     world.run_for(Duration::from_millis(300));
-    let lasting: Vec<(String, u32)> =
+    let long_running: Vec<(String, u32)> =
         (0..3).map(|number| (format!("lasting-{number}"), random.random_range(1..3))).collect();
-    for (id, count) in &lasting {
+    for (id, count) in &long_running {
         let most = random.random_range(0..2) * count;
-        let spec = StepSpec { max_per_executor: most, ..self::lasting(*count, 1) };
+        let spec = StepSpec { max_per_executor: most, ..self::long_running(*count, 1) };
         world.submit(id, "q-view", job(vec![spec]));
     }
     world.run_for(Duration::from_secs(3));
@@ -148,7 +151,7 @@
             0 if is_up => world.crash(&machine, Some(Duration::from_secs(2))),
             1 if is_up => {
                 let id = world.executor_of(&machine);
-                let executor = world.executors.get_mut(&id).expect("it lives");
+                let executor = world.executors.get_mut(&id).expect("the executor runs");
                 let is_cut = !executor.is_cut;
                 executor.set_cut(is_cut);
             }
@@ -164,7 +167,7 @@
     let outcome = world.run_until_over("large", Duration::from_secs(60));
     assert_eq!(outcome, Some(JobOutcome::Completed), "seed {seed}");
     world.run_for(Duration::from_secs(20));
-    for (id, count) in &lasting {
+    for (id, count) in &long_running {
         assert_eq!(world.at_work_of(id), *count as usize, "seed {seed}: {id}");
     }
 }
--- a/crates/jackdawpier_fleet/tests/full_pool.rs
+++ b/crates/jackdawpier_fleet/tests/full_pool.rs
@@ -1,4 +1,4 @@
-//! Placing costs little while hundreds of jobs wait for a pool that is full.
+//! Cost of placement while hundreds of jobs wait for a full pool.
 
 mod world;
 
@@ -9,10 +9,10 @@
 const JOBS: u64 = 200;
 const EXECUTORS: u64 = 20;
 
-/// Two hundred jobs of two steps of eight tasks for twenty executors, and one look at the clock:
-/// each executor is compared once for each task that is placed, and a few times in vain.
+/// In one tick with 200 jobs for 20 executors, each executor is compared once per placed task and a
+/// few times without success.
 #[test]
-fn one_burst() {
+fn burst_cost() {
     let mut world = World::new(&["pool"], EXECUTORS as usize);
     let before = world.fleet.executors_tried();
     for number in 0..JOBS {
@@ -27,9 +27,9 @@
     assert!(tried <= (placed + 8) * EXECUTORS, "{tried} executors compared");
 }
 
-/// What fits again once room is free is placed all the same.
+/// Needs that fitted no executor are tried again once room is free.
 #[test]
-fn room_again() {
+fn retried_needs() {
     let mut world = World::new(&["pool"], 2);
     for number in 0..6 {
         world.submit(&format!("job-{number}"), "q-pool", job(vec![step(4, 4, 300)]));
--- a/crates/jackdawpier_fleet/tests/large_waves.rs
+++ b/crates/jackdawpier_fleet/tests/large_waves.rs
@@ -1,4 +1,4 @@
-//! Planning a wave costs little, however many machines of it wait for their turn.
+//! Cost of planning a wave of which many machines wait.
 
 mod world;
 
@@ -9,10 +9,11 @@
 
 const MACHINES: usize = 60;
 
-/// A new owner finds as many machines away as may be, and has chosen as many others: for each of these all machines of
-/// the wave were counted again, ten times a second, which left no time to renew the ownership.
+/// A new owner finds the maximum number of machines away and has chosen as many others. For each of
+/// these all machines of the wave were counted again, ten times a second, which left no time to
+/// renew the ownership.
 #[test]
-fn taken_over() {
+fn after_takeover() {
     let mut world = World::new(&["view"], MACHINES);
     world.run_for(Duration::from_secs(4));
     let machines: Vec<Arc<str>> = world.machines.keys().cloned().collect();
@@ -22,7 +23,7 @@
     assert_eq!(world.machine_orders.len(), MACHINES / 2);
     world.take_over();
     world.run_for(Duration::from_secs(1));
-    assert_eq!(world.machine_orders.len(), MACHINES / 2, "as many are away as may be");
+    assert_eq!(world.machine_orders.len(), MACHINES / 2, "the maximum number is away");
     let counted = world.fleet.wave_machines_counted();
     let plans = 11;
     assert!(counted <= plans * MACHINES as u64, "{counted} machines counted");
--- a/crates/jackdawpier_fleet/tests/spared_tasks.rs
+++ b/crates/jackdawpier_fleet/tests/missing_task_limits.rs
@@ -1,5 +1,5 @@
-//! Long-running tasks that may miss only so many of their step: planned work takes no more, whatever
-//! else is away.
+//! Limits on missing tasks of long-running steps: maintenance and moves never take more tasks,
+//! whatever else is away.
 
 mod world;
 
@@ -11,7 +11,7 @@
 };
 use world::{World, job, step};
 
-fn lasting(count: u32) -> StepSpec {
+fn long_running(count: u32) -> StepSpec {
     StepSpec { is_long_running: true, may_miss: 1, max_per_executor: 1, ..step(count, 6, 0) }
 }
 
@@ -24,11 +24,11 @@
     }
 }
 
-/// A failed executor's tasks are away although nothing has said so yet.
+/// The tasks of a crashed executor count as away before any list or registry shows the crash.
 #[test]
-fn silent_executor() {
+fn undetected_crash() {
     let mut world = World::new(&["view"], 3);
-    world.submit("j", "q-view", job(vec![lasting(3)]));
+    world.submit("j", "q-view", job(vec![long_running(3)]));
     world.run_for(Duration::from_secs(7));
     world.machine_list_unavailable = true;
     world.crash("m-view-0", None);
@@ -39,11 +39,11 @@
     assert_eq!(world.machine_orders.len(), ordered_before, "one is away already");
 }
 
-/// An order that wasn't taken gives no leave to send it later, when another task is away.
+/// An order that wasn't taken must not be sent again later, when another task is away.
 #[test]
 fn order_not_taken() {
     let mut world = World::new(&["view"], 3);
-    world.submit("j", "q-view", job(vec![lasting(3)]));
+    world.submit("j", "q-view", job(vec![long_running(3)]));
     world.run_for(Duration::from_secs(7));
     world.accepts_machine_orders = false;
     world.waves.push(wave(&["m-view-1"], 1));
@@ -59,7 +59,7 @@
 #[test]
 fn whole_wave() {
     let mut world = World::new(&["view"], 4);
-    world.submit("j", "q-view", job(vec![lasting(3)]));
+    world.submit("j", "q-view", job(vec![long_running(3)]));
     world.run_for(Duration::from_secs(7));
     world.waves.push(wave(&["m-view-0", "m-view-1", "m-view-2", "m-view-3"], 40));
     world.run_for(Duration::from_secs(40));
@@ -68,18 +68,19 @@
     assert_eq!(maintained.count(), 4);
 }
 
-/// More tasks of a step run on a machine than it may miss: they leave it one by one.
+/// More tasks of a step run on a machine than the step may miss, so they leave it one by one.
 #[test]
 fn crowded_machine() {
     let mut world = World::new(&["view"], 2);
     let cut: Vec<_> = ["m-view-1"].iter().map(|machine| world.executor_of(machine)).collect();
-    cut.iter().for_each(|id| world.executors.get_mut(id).expect("it lives").set_cut(true));
+    cut.iter().for_each(|id| world.executors.get_mut(id).expect("the executor runs").set_cut(true));
     world.run_for(Duration::from_secs(2));
-    let small = StepSpec { max_per_executor: 0, need: step(1, 2, 0).need, ..lasting(3) };
+    let small = StepSpec { max_per_executor: 0, need: step(1, 2, 0).need, ..long_running(3) };
     world.submit("j", "q-view", job(vec![small]));
     world.run_for(Duration::from_secs(3));
     assert_eq!(world.runs_of("j"), 3, "all on the one machine that is left");
-    cut.iter().for_each(|id| world.executors.get_mut(id).expect("it lives").set_cut(false));
+    cut.iter()
+        .for_each(|id| world.executors.get_mut(id).expect("the executor runs").set_cut(false));
     world.run_for(Duration::from_secs(2));
     world.waves.push(wave(&["m-view-0"], 10));
     for _ in 0..1500 {
@@ -90,19 +91,20 @@
     assert_eq!(world.runs_of("j"), 3);
 }
 
-/// A task that is being stopped is away already, whichever machine is asked about next.
+/// A task that is being stopped counts as away when the next machine is considered.
 #[test]
-fn task_being_stopped() {
+fn stopping_task() {
     let mut world = World::new(&["view"], 4);
     let cut: Vec<_> =
         ["m-view-2", "m-view-3"].iter().map(|machine| world.executor_of(machine)).collect();
-    cut.iter().for_each(|id| world.executors.get_mut(id).expect("it lives").set_cut(true));
+    cut.iter().for_each(|id| world.executors.get_mut(id).expect("the executor runs").set_cut(true));
     world.run_for(Duration::from_secs(2));
-    let small = StepSpec { max_per_executor: 2, need: step(1, 2, 0).need, ..lasting(3) };
+    let small = StepSpec { max_per_executor: 2, need: step(1, 2, 0).need, ..long_running(3) };
     world.submit("j", "q-view", job(vec![small]));
     world.run_for(Duration::from_secs(3));
     assert_eq!(world.runs_of("j"), 3);
-    cut.iter().for_each(|id| world.executors.get_mut(id).expect("it lives").set_cut(false));
+    cut.iter()
+        .for_each(|id| world.executors.get_mut(id).expect("the executor runs").set_cut(false));
     world.run_for(Duration::from_secs(2));
     world.waves.push(wave(&["m-view-0", "m-view-1"], 1));
     for _ in 0..1500 {
@@ -112,12 +114,12 @@
     assert_eq!(world.machine_orders.len(), 2);
 }
 
-/// Between an order about a machine and its arrival reports still show its tasks at work: they are
-/// spent all the same.
+/// Between sending an order about a machine and its arrival, reports still show the machine's tasks
+/// at work. They count as away.
 #[test]
 fn order_under_way() {
     let mut world = World::new(&["view"], 5);
-    world.submit("j", "q-view", job(vec![lasting(3)]));
+    world.submit("j", "q-view", job(vec![long_running(3)]));
     world.run_for(Duration::from_secs(7));
     world.machine_order_delay = Duration::from_millis(1500);
     let machines = ["m-view-0", "m-view-1", "m-view-2", "m-view-3", "m-view-4"];
@@ -129,12 +131,12 @@
     assert!(world.machine_orders.len() >= 5);
 }
 
-/// A machine is taken while its order is thought to be unanswered: the refusal of a second order doesn't bring back what
-/// the first one has ended.
+/// A machine is taken while its order counts as unanswered. The refusal of a second order doesn't
+/// make its tasks count as back.
 #[test]
 fn repeated_order() {
     let mut world = World::new(&["view"], 5);
-    world.submit("j", "q-view", job(vec![lasting(3)]));
+    world.submit("j", "q-view", job(vec![long_running(3)]));
     world.run_for(Duration::from_secs(7));
     let busy = world.busy_machines();
     let busy: Vec<&str> = busy.iter().map(|machine| &**machine).collect();
@@ -156,11 +158,11 @@
     assert_eq!(world.machine_orders.len(), 3);
 }
 
-/// An order about a machine that was held up on its way out doesn't leave once another task is away.
+/// A delayed order about a machine isn't sent once another task is away.
 #[test]
-fn held_up_order() {
+fn delayed_order() {
     let mut world = World::new(&["view"], 5);
-    world.submit("j", "q-view", job(vec![lasting(3)]));
+    world.submit("j", "q-view", job(vec![long_running(3)]));
     world.run_for(Duration::from_secs(7));
     let busy = world.busy_machines();
     world.machine_order_delay = Duration::from_secs(60);
@@ -173,11 +175,12 @@
     assert!(!world.fleet.may_send_machine_order(world.now, &order), "one is away already");
 }
 
-/// An order that wasn't answered may still be carried out, also after the refusal of the next one about that machine.
+/// An unanswered order may still be carried out, even after the next order about that machine was
+/// refused.
 #[test]
 fn late_order() {
     let mut world = World::new(&["view"], 5);
-    world.submit("j", "q-view", job(vec![lasting(3)]));
+    world.submit("j", "q-view", job(vec![long_running(3)]));
     world.run_for(Duration::from_secs(7));
     let busy = world.busy_machines();
     let busy: Vec<&str> = busy.iter().map(|machine| &**machine).collect();
@@ -197,17 +200,17 @@
     assert!(world.machine_orders.len() >= 3);
 }
 
-/// A machine that is due holds tasks of a step that can spare one and of a step that can't any more:
-/// the former moves away meanwhile, so that the machine only waits for the latter.
+/// A machine due for maintenance runs a task of a step that can miss one and a task of a step that
+/// can't any more. The former is moved meanwhile, so that the machine only waits for the latter.
 #[test]
 fn task_by_task() {
     let mut world = World::new(&["view"], 3);
-    world.submit("full", "q-view", job(vec![lasting(3)]));
+    world.submit("full", "q-view", job(vec![long_running(3)]));
     world.run_for(Duration::from_secs(1));
     let spared = StepSpec { is_long_running: true, may_miss: 1, ..step(1, 1, 0) };
     world.submit("spared", "q-view", job(vec![spared]));
     world.run_for(Duration::from_secs(1));
-    // The tightest executor gets it, beside the task that can move.
+    // Best fit places it beside the task that can move.
     world.submit("timed", "q-view", job(vec![step(1, 1, 3_500)]));
     world.run_for(Duration::from_millis(500));
     let machines = ["m-view-0", "m-view-1", "m-view-2"];
@@ -228,8 +231,8 @@
     assert!(machines.into_iter().any(|one| one != other && runs_on(&world, one, "spared")));
 }
 
-/// All tasks of a step run on the only machine that suits them: none is stopped for a wave, since it
-/// couldn't start anywhere else.
+/// All tasks of a step run on the only machine with their label. None is stopped for a wave, since
+/// it couldn't start anywhere else.
 #[test]
 fn only_machine() {
     let mut world = World::new(&["view"], 3);
@@ -239,7 +242,7 @@
         max_per_executor: 0,
         need: step(1, 2, 0).need,
         required_label: Some("gpu".into()),
-        ..lasting(3)
+        ..long_running(3)
     };
     world.submit("j", "q-view", job(vec![needs]));
     world.run_for(Duration::from_secs(7));
@@ -250,9 +253,9 @@
     }
 }
 
-/// A machine that is kept free for its maintenance takes a lasting task that has no other place.
+/// A machine that is vacated for maintenance accepts a long-running task that fits nowhere else.
 #[test]
-fn last_place() {
+fn last_free_machine() {
     let mut world = World::new(&["view"], 3);
     let alone = |cores| StepSpec { is_long_running: true, ..step(1, cores, 0) };
     world.submit("first", "q-view", job(vec![alone(4)]));
@@ -269,7 +272,7 @@
     assert_eq!(world.runs_of("first"), 1);
 }
 
-/// Waves of which one can't be read stay as they are known; one that is gone is dropped.
+/// If a wave can't be read, all known waves are kept. A removed wave is dropped.
 #[test]
 fn unreadable_wave() {
     let mut world = World::new(&["view"], 2);
--- a/crates/jackdawpier_fleet/tests/pacing.rs
+++ b/crates/jackdawpier_fleet/tests/pacing.rs
@@ -1,4 +1,4 @@
-//! Work that fills slows down at once where it disturbs work that serves, and comes back slowly.
+//! Filler tasks are slowed at once where they interfere with serving tasks, and restored slowly.
 
 mod world;
 
@@ -7,7 +7,7 @@
 use jackdawpier_fleet::spec::{StepSpec, TaskKey};
 use world::{Delivery, World, job, step};
 
-fn lasting() -> StepSpec {
+fn long_running() -> StepSpec {
     StepSpec { is_long_running: true, ..step(1, 2, 0) }
 }
 
@@ -15,12 +15,12 @@
     TaskKey { job: "filler".into(), occurrence: 0, step: 0, index: 0 }
 }
 
-/// One executor with a task that serves and one that fills.
+/// Returns a world with one executor that runs a serving and a filler task.
 fn shared_executor() -> World {
     let mut world = World::new(&["view"], 1);
-    let serving = StepSpec { tail_target: Some(Duration::from_millis(100)), ..lasting() };
+    let serving = StepSpec { tail_target: Some(Duration::from_millis(100)), ..long_running() };
     world.submit("serving", "q-view", job(vec![serving]));
-    world.submit("filler", "q-view", job(vec![StepSpec { is_filler: true, ..lasting() }]));
+    world.submit("filler", "q-view", job(vec![StepSpec { is_filler: true, ..long_running() }]));
     world.run_for(Duration::from_secs(2));
     assert_eq!(world.runs_of("filler"), 1);
     world
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn cut_and_return() {
+fn cut_and_restore() {
     let mut world = shared_executor();
     set_tail(&mut world, 120);
     world.run_for(Duration::from_millis(500));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn order_lost() {
+fn lost_order() {
     let mut world = shared_executor();
     world.delivery = Box::new(|_| Delivery::Late(Duration::from_secs(600)));
     set_tail(&mut world, 120);
--- a/crates/jackdawpier_fleet/tests/pools.rs
+++ b/crates/jackdawpier_fleet/tests/pools.rs
@@ -1,5 +1,5 @@
-//! Machines follow the demand: a pool that is asked for more than it holds gets idle machines of
-//! other pools and of the standby pool, and nothing that runs is cut short for it.
+//! Moves between pools: a pool with more demand than machines gets idle machines of other pools and
+//! of the standby pool, and no running task is stopped for it.
 
 mod world;
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn burst_borrows() {
+fn burst_moves() {
     let mut world = World::new(&["view", "report", "off"], 4);
     world.run_for(Duration::from_secs(4));
     burst(&mut world, 6);
@@ -29,12 +29,12 @@
             == Some(JobOutcome::Completed)
     });
     assert!(all_done);
-    // Four machines take two tasks each at a time, so 48 tasks would take six seconds there.
+    // Four machines run two tasks each at a time, so 48 tasks would take six seconds there.
     assert!(moves_to(&world, "view") >= 3);
 }
 
 #[test]
-fn refused_pool() {
+fn refused_moves() {
     let mut world = World::new(&["view", "off"], 2);
     world.refuses_moves = true;
     world.run_for(Duration::from_secs(4));
@@ -55,8 +55,8 @@
     assert_eq!(moves_to(&world, "view"), 0);
 }
 
-/// Demand rises to several times what the pool can do: machines are ordered while it still has room,
-/// though the last second was calm for the most part.
+/// Demand rises to several times the capacity of the pool: machines are ordered while it still has
+/// room, although demand was low for most of the last second.
 #[test]
 fn sudden_rise() {
     let mut world = World::new(&["view", "report"], 8);
@@ -73,25 +73,26 @@
     assert!(moves_to(&world, "view") >= 3, "{} machines ordered", moves_to(&world, "view"));
 }
 
-/// Jobs that came while nobody owned the fleet are found together. Counted as if all came at that moment
-/// they looked like a rise to several times the fleet: a pool that held 155 machines was said to need 719, took
-/// 72 from the others that it never used, and the pool whose turn began a second later was left with 36 of 130.
+/// A new owner finds all jobs at once that arrived while the fleet had no owner. Counted as
+/// arrivals of that moment they looked like a rise to several times the fleet: a pool with 155
+/// machines was computed to need 719 and took 72 that it never used, and the pool whose peak began
+/// a second later was left with 36 of 130.
 #[test]
-fn found_backlog() {
+fn takeover_backlog() {
     let mut world = World::new(&["view", "report"], 12);
     world.run_for(Duration::from_secs(4));
-    // Half of the pool is asked for, by work for some six machines that comes in each second.
+    // The jobs of each second need about six machines, half of the pool.
     for number in 0..24 {
         world.store_job(&format!("found-{number}"), "q-view", job(vec![step(2, 1, 4_000)]));
         world.now += Duration::from_millis(170);
     }
     world.take_over();
     world.run_for(Duration::from_secs(3));
-    assert_eq!(moves_to(&world, "view"), 0, "machines that nobody needs");
+    assert_eq!(moves_to(&world, "view"), 0, "moved machines that no job needs");
 }
 
-/// A turn begins as a ramp: each half second brings more than the one before. Machines are ordered for what
-/// will come when they can take work, not for what comes now, or the pool is behind until the ramp ends.
+/// A peak begins as a ramp. Machines have to be ordered for the demand at their arrival, not for
+/// the current one, or the pool lags behind until the ramp ends.
 #[test]
 fn growing_demand() {
     let mut world = World::new(&["view", "report"], 12);
@@ -111,29 +112,32 @@
     }
 }
 
-/// A lasting step that allows one task a machine waited for good where its pool held fewer machines than it has tasks.
+/// A long-running step limited to one task per machine waited forever in a pool with fewer machines
+/// than it has tasks.
 #[test]
 fn spread_step() {
     let mut world = World::new(&["view", "off"], 2);
-    let lasting = StepSpec { is_long_running: true, may_miss: 1, ..step(3, 1, 0) };
-    world.submit("lasting", "q-view", job(vec![StepSpec { max_per_executor: 1, ..lasting }]));
+    let long_running = StepSpec { is_long_running: true, may_miss: 1, ..step(3, 1, 0) };
+    world.submit("lasting", "q-view", job(vec![StepSpec { max_per_executor: 1, ..long_running }]));
     world.run_for(Duration::from_secs(8));
     assert_eq!(world.at_work_of("lasting"), 3);
 }
 
-/// A task waited for ever where lasting work left enough cores in all and on no executor enough for it.
+/// A task waited forever where long-running tasks left enough cores in total but on no single
+/// executor.
 #[test]
-fn small_gaps() {
+fn fragmented_cores() {
     let mut world = World::new(&["view", "off"], 2);
-    let lasting = StepSpec { is_long_running: true, may_miss: 1, ..step(2, 5, 0) };
-    world.submit("lasting", "q-view", job(vec![StepSpec { max_per_executor: 1, ..lasting }]));
+    let long_running = StepSpec { is_long_running: true, may_miss: 1, ..step(2, 5, 0) };
+    world.submit("lasting", "q-view", job(vec![StepSpec { max_per_executor: 1, ..long_running }]));
     world.run_for(Duration::from_secs(3));
     world.submit("large", "q-view", job(vec![step(1, 4, 500)]));
     let outcome = world.run_until_over("large", Duration::from_secs(20));
     assert_eq!(outcome, Some(JobOutcome::Completed));
 }
 
-/// A gang that allows one member a machine waited for ever where its pool held fewer machines than it has members.
+/// A gang limited to one member per machine waited forever in a pool with fewer machines than it
+/// has members.
 #[test]
 fn spread_gang() {
     let mut world = World::new(&["view", "off"], 2);
@@ -144,9 +148,10 @@
     assert_eq!(outcome, Some(JobOutcome::Completed));
 }
 
-/// A task that is too large for any machine hid the ones behind it, which waited for ever.
+/// A task that is too large for any machine hid the ones behind it from planning, so they waited
+/// forever.
 #[test]
-fn hidden_wait() {
+fn hidden_job() {
     let mut world = World::new(&["view", "off"], 2);
     world.run_for(Duration::from_secs(4));
     world.submit("too-large", "q-view", job(vec![step(1, 9, 500)]));
--- a/crates/jackdawpier_fleet/tests/priorities.rs
+++ b/crates/jackdawpier_fleet/tests/priorities.rs
@@ -1,4 +1,4 @@
-//! The order in which waiting jobs get room.
+//! Order in which waiting jobs are placed.
 
 mod world;
 
@@ -8,7 +8,7 @@
 use world::{World, job, step};
 
 #[test]
-fn first_priority() {
+fn priority_first() {
     let mut world = World::new(&["view"], 1);
     world.queues.push(world::queue("q-urgent", "view"));
     world.queues[0].priority = 1;
@@ -24,9 +24,9 @@
     assert_eq!(world.fleet.view("patient-0"), Some(JobView::Queued));
 }
 
-/// A job that can still end in time goes before one that can't.
+/// A job that can still end in time is placed before one that can't.
 #[test]
-fn hopeless_behind() {
+fn expired_last() {
     let mut world = World::new(&["view"], 1);
     world.submit("busy", "q-view", job(vec![step(1, 8, 4_000)]));
     world.run_for(Duration::from_millis(100));
--- a/crates/jackdawpier_fleet/tests/repeated_stops.rs
+++ b/crates/jackdawpier_fleet/tests/repeated_stops.rs
@@ -1,4 +1,5 @@
-//! Orders to stop a long-running task that weren't taken: what made them right may not hold when they are repeated.
+//! Stop orders for long-running tasks that weren't taken: the conditions for the stop may no longer
+//! hold when they are repeated.
 
 mod world;
 
@@ -11,25 +12,25 @@
 };
 use world::{Delivery, World, job, step};
 
-/// Longer than any test runs.
+/// Delivery later than the end of any test.
 const NEVER: Delivery = Delivery::Late(Duration::from_secs(1000));
-/// What hasn't been at work for this long counts as away.
-const NOTICED: Duration = Duration::from_millis(4600);
+/// Time after a crash by which the lost tasks count as away.
+const LOSS_NOTICED_AFTER: Duration = Duration::from_millis(4600);
 
-/// A machine that two tasks of a step share.
+/// Machine that runs two tasks of a step.
 const CROWDED: &str = "m-view-0";
 
-/// An order to stop a run: its executor, task and number.
+/// Executor, task and run number of a stop order.
 type Stop = (Arc<str>, TaskKey, u32);
 
-fn lasting(count: u32) -> StepSpec {
+fn long_running(count: u32) -> StepSpec {
     StepSpec { is_long_running: true, may_miss: 1, max_per_executor: 1, ..step(count, 6, 0) }
 }
 
-/// Three tasks at work, of which one has just been started again by an order whose answer was lost; returns the
-/// machines of the others.
-fn with_unsure_start(world: &mut World) -> Vec<Arc<str>> {
-    world.submit("j", "q-view", job(vec![lasting(3)]));
+/// Starts three tasks, then restarts one by an order whose answer is lost. Returns the machines of
+/// the others.
+fn with_unanswered_start(world: &mut World) -> Vec<Arc<str>> {
+    world.submit("j", "q-view", job(vec![long_running(3)]));
     world.run_for(Duration::from_secs(7));
     let busy = world.busy_machines();
     world.run_for(Duration::from_millis(10));
@@ -44,8 +45,8 @@
     busy[1..].to_vec()
 }
 
-/// The machine of one more task fails, and no list of machines shows it.
-fn lose_unseen(world: &mut World, machine: &str) {
+/// Crashes a machine without any list of machines showing it.
+fn crash_undetected(world: &mut World, machine: &str) {
     world.machine_list_unavailable = true;
     world.crash(machine, None);
 }
@@ -54,13 +55,14 @@
     world.commands.iter().filter(|(_, command)| matches!(command, Command::Start { .. })).count()
 }
 
-/// A start without an answer had begun after all: the task was at work for seconds when it was stopped, and another one was away.
+/// An unanswered start had been carried out. The task had been at work for seconds when it was
+/// stopped, while another one was away.
 #[test]
-fn unsure_start() {
+fn unanswered_start() {
     let mut world = World::new(&["view"], 5);
-    let others = with_unsure_start(&mut world);
-    lose_unseen(&mut world, &others[0]);
-    world.run_for(NOTICED);
+    let others = with_unanswered_start(&mut world);
+    crash_undetected(&mut world, &others[0]);
+    world.run_for(LOSS_NOTICED_AFTER);
     let started = starts(&world);
     world.delivery = Box::new(|_| Delivery::Answered);
     world.run_for(Duration::from_millis(400));
@@ -68,17 +70,19 @@
     assert_eq!(starts(&world), started);
 }
 
-/// A step of which two tasks run on one machine, more than it may miss; returns the machine of the third.
+/// Starts a step with two tasks on one machine, more than it may miss. Returns the machine of the
+/// third.
 fn with_crowded_machine(world: &mut World) -> Arc<str> {
     let cut: Vec<_> =
         ["m-view-1", "m-view-2"].iter().map(|machine| world.executor_of(machine)).collect();
-    cut.iter().for_each(|id| world.executors.get_mut(id).expect("it lives").set_cut(true));
+    cut.iter().for_each(|id| world.executors.get_mut(id).expect("the executor runs").set_cut(true));
     world.run_for(Duration::from_secs(2));
-    let small = StepSpec { max_per_executor: 2, need: step(1, 2, 0).need, ..lasting(3) };
+    let small = StepSpec { max_per_executor: 2, need: step(1, 2, 0).need, ..long_running(3) };
     world.submit("j", "q-view", job(vec![small]));
     world.run_for(Duration::from_secs(1));
     assert_eq!(world.runs_of("j"), 2);
-    cut.iter().for_each(|id| world.executors.get_mut(id).expect("it lives").set_cut(false));
+    cut.iter()
+        .for_each(|id| world.executors.get_mut(id).expect("the executor runs").set_cut(false));
     world.run_for(Duration::from_secs(5));
     assert_eq!(world.at_work_of("j"), 3);
     let other = world.busy_machines().into_iter().find(|one| **one != *CROWDED);
@@ -90,7 +94,7 @@
     Wave { number, machines: vec![machine.into()], within, max_away: 1 }
 }
 
-/// Runs until a task is told to stop.
+/// Runs until a stop order is issued, and returns it.
 fn run_until_stop(world: &mut World) -> Stop {
     loop {
         world.run_for(world::STEP);
@@ -106,7 +110,8 @@
     }
 }
 
-/// A task that is told to leave the crowded machine, by an order that isn't taken; returns the machine of the third and the order.
+/// Orders a task off the crowded machine by a stop that isn't taken. Returns the machine of the
+/// third task and the order.
 fn with_untaken_stop(world: &mut World) -> (Arc<str>, Stop) {
     let other = with_crowded_machine(world);
     world.delivery = Box::new(|_| NEVER);
@@ -114,34 +119,36 @@
     (other, run_until_stop(world))
 }
 
-/// A task had been told to leave its machine while its step could spare it; the order came seconds later, when another one was away.
+/// A stop was ordered while the step could miss the task, and was delivered seconds later, when
+/// another task was away.
 #[test]
-fn spared_before() {
+fn outdated_stop() {
     let mut world = World::new(&["view"], 3);
     let (other, _) = with_untaken_stop(&mut world);
-    lose_unseen(&mut world, &other);
-    world.run_for(NOTICED);
+    crash_undetected(&mut world, &other);
+    world.run_for(LOSS_NOTICED_AFTER);
     world.delivery = Box::new(|_| Delivery::Answered);
     world.run_for(Duration::from_millis(400));
     assert_eq!(world.at_work_of("j"), 2, "one may be missed");
 }
 
-/// A try of a stop that had waited behind others left though another task was away by then.
+/// A delayed attempt of a stop order was sent although another task was away by then.
 #[test]
-fn held_up_try() {
+fn delayed_attempt() {
     let mut world = World::new(&["view"], 3);
     let (other, (executor, task, run)) = with_untaken_stop(&mut world);
     assert!(world.fleet.may_send_stop(world.now, &executor, &task, run));
-    world.executors.get_mut(&executor).expect("it lives").set_cut(true);
-    lose_unseen(&mut world, &other);
+    world.executors.get_mut(&executor).expect("the executor runs").set_cut(true);
+    crash_undetected(&mut world, &other);
     world.run_for(Duration::from_secs(2));
     assert!(!world.fleet.may_send_stop(world.now, &executor, &task, run), "one is away already");
 }
 
-/// A stop that was taken back is carried out after all, `late`; a machine with another task is asked for `asked_after` it was ordered.
-fn carried_out(late: Duration, asked_after: Duration) {
+/// Checks a revoked stop that is carried out `late` all the same. The wave for a machine with
+/// another task starts `wave_after` the stop was ordered.
+fn check_revoked_stop(late: Duration, wave_after: Duration) {
     let mut world = World::new(&["view"], 5);
-    world.submit("j", "q-view", job(vec![lasting(3)]));
+    world.submit("j", "q-view", job(vec![long_running(3)]));
     world.run_for(Duration::from_secs(7));
     let busy = world.busy_machines();
     let mut orders = 0;
@@ -156,7 +163,7 @@
     });
     world.crash(&busy[0], None);
     run_until_stop(&mut world);
-    world.run_for(asked_after);
+    world.run_for(wave_after);
     world.waves.push(wave(1, &busy[1]));
     while world.at_work_of("j") < 3 {
         world.run_for(world::STEP);
@@ -169,14 +176,14 @@
     assert_eq!(world.runs_of("j"), 3);
 }
 
-/// Until a stop that was taken back can't be carried out any more its task counts as away.
+/// The task of a revoked stop counts as away until the stop can't be carried out any more.
 #[test]
-fn taken_back_late() {
-    carried_out(Duration::from_millis(2200), Duration::ZERO);
+fn revoked_stop_late() {
+    check_revoked_stop(Duration::from_millis(2200), Duration::ZERO);
 }
 
-/// Executors carry orders out up to twelve seconds late.
+/// Executors may carry out orders up to twelve seconds late.
 #[test]
-fn taken_back_hanging() {
-    carried_out(Duration::from_secs(9), Duration::from_millis(8400));
+fn revoked_stop_hanging() {
+    check_revoked_stop(Duration::from_secs(9), Duration::from_millis(8400));
 }
--- a/crates/jackdawpier_fleet/tests/starved_jobs.rs
+++ b/crates/jackdawpier_fleet/tests/starved_jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs that can't be in time any more share what room there is.
+//! Jobs that can't end in time any more share the room.
 
 mod world;
 
@@ -7,10 +7,10 @@
 use jackdawpier_fleet::{fleet::JobView, spec::StepSpec};
 use world::{World, executor::FakeExecutor, job, step};
 
-/// Work for 40 s comes at once. From five seconds on each job is starved; those with many tasks must not
-/// keep all others from running anything until they are through.
+/// A backlog of 40 s arrives at once, and each job is starved after five seconds. Jobs with many
+/// tasks must not keep all others from running until they have finished.
 #[test]
-fn served_in_turn() {
+fn fair_turns() {
     const JOBS: usize = 20;
     const STEP: Duration = Duration::from_millis(100);
     let mut world = World::new(&["view"], 1);
@@ -34,13 +34,13 @@
             }
         }
     }
-    // Four tasks at a time, half a second each: all jobs get one within 2.5 s.
+    // Four tasks run at a time for half a second each, so every job gets one within 2.5 s.
     assert!(longest <= Duration::from_secs(5), "a job ran nothing for {longest:?}");
 }
 
-/// The longest waiting jobs ask for what nobody has; the next one is tried all the same.
+/// The longest waiting jobs require a label that no executor has. The next job must still be tried.
 #[test]
-fn behind_hopeless() {
+fn behind_unplaceable() {
     let mut world = World::new(&["view"], 1);
     for number in 0..20 {
         let nowhere = StepSpec { required_label: Some("nobody".into()), ..step(1, 2, 500) };
@@ -50,5 +50,5 @@
     world.run_for(Duration::from_millis(100));
     world.submit("z", "q-view", job(vec![step(1, 2, 500)]));
     let outcome = world.run_until_over("z", Duration::from_secs(10));
-    assert!(outcome.is_some(), "it gets its turn");
+    assert!(outcome.is_some(), "the job was never tried");
 }
--- a/crates/jackdawpier_fleet/tests/takeover.rs
+++ b/crates/jackdawpier_fleet/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! A new owner goes on where the former one stood, knowing only the store and the executors.
+//! A new owner continues from the store and the reports of executors alone.
 
 mod world;
 
@@ -14,12 +14,12 @@
     world.run_for(Duration::from_millis(700));
     world.take_over();
     world.run_for(Duration::from_millis(300));
-    assert_eq!(world.runs_of("j"), 6, "what runs goes on");
+    assert_eq!(world.runs_of("j"), 6, "running tasks continue");
     let outcome = world.run_until_over("j", Duration::from_secs(4));
     assert_eq!(outcome, Some(JobOutcome::Completed));
 }
 
-/// The orders of a former owner that arrive late start nothing any more.
+/// Late orders of a previous owner start nothing.
 #[test]
 fn late_orders() {
     let mut world = World::new(&["view"], 2);
@@ -34,7 +34,7 @@
     assert_eq!(world.runs_of("j"), 0);
 }
 
-/// The route of an accepted job has been removed, and no entry remembers it.
+/// The route of an accepted job was removed, and no entry has it in memory.
 #[test]
 fn removed_queue() {
     let mut world = World::new(&["view"], 2);
