--- a/crates/jackdawpier_fleet/tests/defragmentation.rs
+++ b/crates/jackdawpier_fleet/tests/defragmentation.rs
@@ -105,10 +105,10 @@
     let mut world = two_spread_tasks(1);
     world.submit("large", "q-view", job(vec![step(2, 6, 500)]));
     world.run_for(Duration::from_secs(4));
-    let stops = world.lasting.gaps.len();
+    let stops = world.long_running.gaps.len();
     world.submit("too-large", "q-view", job(vec![gang(2, 6)]));
     world.run_for(Duration::from_secs(60));
-    assert!(world.lasting.gaps.len() <= stops + 1, "{:?}", world.lasting.gaps);
+    assert!(world.long_running.gaps.len() <= stops + 1, "{:?}", world.long_running.gaps);
 }
 
 /// Executors crash and are disconnected, owners change and other tasks arrive during
--- a/crates/jackdawpier_fleet/tests/histories.rs
+++ b/crates/jackdawpier_fleet/tests/histories.rs
@@ -134,7 +134,7 @@
     for id in lasting.iter().filter(|id| !world.cancelled.iter().any(|one| **one == ***id)) {
         assert_eq!(world.fleet.view(id), Some(JobView::Running), "seed {seed}: {id}");
         let tasks = world.submissions[id.as_str()].spec.steps[0].count as usize;
-        let is_cause = world.crashes.jobs.iter().any(|job| **job == **id);
+        let is_cause = world.crashes.crashing_jobs.iter().any(|job| **job == **id);
         let at_work = world.at_work_of(id);
         let is_back = at_work + usize::from(is_cause) >= tasks;
         if !is_back && std::env::var("TRACE").is_ok() {
@@ -251,7 +251,7 @@
         _ => Delivery::Answered,
     });
     if crashing > 0.0 {
-        world.crashes.after = Duration::from_millis(marks.random_range(10..1_500));
+        world.crashes.crash_after = Duration::from_millis(marks.random_range(10..1_500));
         world.restarts_keep_ids = marks.random_bool(0.5);
     }
     if is_capped {
@@ -266,14 +266,16 @@
         if is_capped {
             random_account(&mut world, &mut accounts, &next);
         }
-        if marks.random_bool(crashing) && !world.crashes.jobs.iter().any(|id| **id == *next) {
-            world.crashes.jobs.push(next.into());
+        if marks.random_bool(crashing)
+            && !world.crashes.crashing_jobs.iter().any(|id| **id == *next)
+        {
+            world.crashes.crashing_jobs.push(next.into());
         }
         let is_due = has_lasting && lasting_random.random_bool(0.2);
         if is_due && lasting.len() < LASTING_JOBS {
             let id = format!("lasting-{}", lasting.len());
             if lasting_random.random_bool(crashing) {
-                world.crashes.jobs.push(id.as_str().into());
+                world.crashes.crashing_jobs.push(id.as_str().into());
             }
             world.submit(&id, "q-view", lasting_job(&mut lasting_random));
             lasting.push(id);
@@ -305,9 +307,9 @@
     }
     for id in &jobs {
         let is_failed = world.fleet.view(id) == Some(JobView::Over(JobOutcome::Failed));
-        let crashes = world.crashes.most_under(id);
+        let crashes = world.crashes.max_crashes_of(id);
         assert!(
-            !is_failed || world.crashes.excuse(id),
+            !is_failed || world.crashes.justifies_giving_up(id),
             "seed {seed}: {id} after {crashes} crashes"
         );
     }
@@ -440,15 +442,20 @@
 
 /// What a history cost: executors that crashed, what else was given up, and how long lasting tasks were away.
 fn print_statistics(world: &World, seed: u64, jobs: &[String], lasting: &[String]) {
-    let is_cause = |id: &&String| world.crashes.jobs.iter().any(|job| **job == ***id);
+    let is_cause = |id: &&String| world.crashes.crashing_jobs.iter().any(|job| **job == ***id);
     let is_failed = |id: &&String| world.fleet.view(id) == Some(JobView::Over(JobOutcome::Failed));
     let innocents = jobs.iter().filter(is_failed).filter(|id| !is_cause(id)).count();
-    let gaps = world.lasting.gaps.iter().filter(|(task, _)| !world.crashes.is_cause(task));
+    let gaps =
+        world.long_running.gaps.iter().filter(|(task, _)| !world.crashes.is_crashing_task(task));
     let gaps_ms: Vec<u128> = gaps.map(|(_, gap)| gap.as_millis()).collect();
-    let pauses = world.lasting.pauses.iter().filter(|pause| !world.crashes.is_cause(&pause.task));
+    let pauses = world
+        .long_running
+        .backoffs
+        .iter()
+        .filter(|pause| !world.crashes.is_crashing_task(&pause.task));
     let pauses_s: Vec<Option<u64>> =
         pauses.map(|pause| pause.duration.map(|time| time.as_secs())).collect();
-    let (crashed, lasting) = (world.crashes.executors, lasting.len());
+    let (crashed, lasting) = (world.crashes.executor_crashes, lasting.len());
     println!(
         "seed {seed}: crashed {crashed}, given up {innocents}, lasting jobs {lasting}, away {gaps_ms:?} ms, \
          held back {pauses_s:?} s"
--- a/crates/jackdawpier_fleet/tests/lives.rs
+++ b/crates/jackdawpier_fleet/tests/incarnations.rs
@@ -59,8 +59,8 @@
 #[test]
 fn crash_between_owners() {
     let mut world = world_of(6);
-    world.crashes.back_after = Duration::from_millis(500);
-    world.crashes.jobs.push("bad".into());
+    world.crashes.restart_after = Duration::from_millis(500);
+    world.crashes.crashing_jobs.push("bad".into());
     world.submit("bad", "q-view", job(vec![step(4, 2, 800)]));
     let mut outcome = None;
     for _ in 0..14 {
@@ -76,12 +76,12 @@
 fn crash_and_return() {
     let mut world = world_of(6);
     world.machine_list_unavailable = true;
-    world.crashes.back_after = Duration::from_millis(100);
-    world.crashes.jobs.push("bad".into());
+    world.crashes.restart_after = Duration::from_millis(100);
+    world.crashes.crashing_jobs.push("bad".into());
     world.submit("bad", "q-view", job(vec![step(4, 2, 800)]));
     let outcome = world.run_until_over("bad", Duration::from_secs(10));
     assert_eq!(outcome, Some(JobOutcome::Failed));
-    assert_eq!(world.crashes.most_under("bad"), 2);
+    assert_eq!(world.crashes.max_crashes_of("bad"), 2);
 }
 
 /// The next owner counts on a lease of the usual length, also where the executor has started again under its id.
--- a/crates/jackdawpier_fleet/tests/lasting_neighbours.rs
+++ b/crates/jackdawpier_fleet/tests/long_running_neighbours.rs
@@ -29,7 +29,7 @@
     for round in 0..rounds {
         let id = format!("other-{}", world.submissions.len());
         if round % crashing_of == 0 {
-            world.crashes.jobs.push(id.as_str().into());
+            world.crashes.crashing_jobs.push(id.as_str().into());
         } else {
             innocent.push(id.clone());
         }
@@ -77,10 +77,10 @@
 #[test]
 fn lasting_cause() {
     let mut world = World::new(&["view"], 6);
-    world.crashes.jobs.push("lasting".into());
+    world.crashes.crashing_jobs.push("lasting".into());
     world.submit("lasting", "q-view", job(vec![lasting(4, 2)]));
     world.run_for(Duration::from_secs(30));
-    assert_eq!(world.crashes.most_under("lasting"), 2, "no third executor falls to it");
+    assert_eq!(world.crashes.max_crashes_of("lasting"), 2, "no third executor falls to it");
     assert_eq!(world.fleet.view("lasting"), Some(JobView::Running));
     assert_eq!(world.at_work_of("lasting"), 3);
 }
@@ -113,8 +113,8 @@
 #[test]
 fn cause_for_ever() {
     let mut world = World::new(&["view"], 6);
-    world.crashes.after = Duration::from_millis(1_300);
-    world.crashes.jobs.push("lasting".into());
+    world.crashes.crash_after = Duration::from_millis(1_300);
+    world.crashes.crashing_jobs.push("lasting".into());
     world.submit("lasting", "q-view", job(vec![lasting(4, 2)]));
     world.run_for(Duration::from_secs(1_000));
     assert_eq!(world.at_work_of("lasting"), 3);
@@ -124,14 +124,14 @@
 #[test]
 fn cause_over_owners() {
     let mut world = World::new(&["view"], 6);
-    world.crashes.jobs.push("lasting".into());
+    world.crashes.crashing_jobs.push("lasting".into());
     world.submit("lasting", "q-view", job(vec![lasting(4, 2)]));
     for _ in 0..6 {
         world.run_for(Duration::from_secs(4));
         world.take_over();
     }
     world.run_for(Duration::from_secs(4));
-    assert!(world.crashes.most_under("lasting") <= 3);
+    assert!(world.crashes.max_crashes_of("lasting") <= 3);
     assert_eq!(world.at_work_of("lasting"), 3);
     world.cancel("lasting");
     let outcome = world.run_until_over("lasting", Duration::from_secs(5));
--- a/crates/jackdawpier_fleet/tests/lasting_trials.rs
+++ b/crates/jackdawpier_fleet/tests/probation.rs
@@ -35,7 +35,7 @@
     let mut world = world_with_lasting(executors);
     (0..3).for_each(|_| crash_after(&mut world, Duration::from_millis(700)));
     world.run_for(Duration::from_millis(500));
-    assert_eq!(world.lasting.pauses.len(), 1, "it is held back");
+    assert_eq!(world.long_running.backoffs.len(), 1, "it is held back");
     world
 }
 
@@ -50,7 +50,7 @@
         crash_after(&mut world, Duration::from_millis(500));
     }
     world.run_for(Duration::from_secs(4));
-    assert_eq!(world.lasting.pauses, []);
+    assert_eq!(world.long_running.backoffs, []);
     assert_eq!(world.at_work_of("lasting"), 1);
 }
 
@@ -58,8 +58,8 @@
 #[test]
 fn settled_neighbours() {
     let mut world = World::new(&["view"], 2);
-    world.crashes.after = Duration::from_millis(1_200);
-    world.crashes.jobs.push("bad".into());
+    world.crashes.crash_after = Duration::from_millis(1_200);
+    world.crashes.crashing_jobs.push("bad".into());
     world.label("m-view-1", "gpu");
     world.run_for(Duration::from_secs(1));
     world.submit("lasting", "q-view", job(vec![lasting()]));
@@ -70,8 +70,8 @@
     assert_eq!(&*world.machine_of_task("lasting"), "m-view-0");
     world.crash("m-view-0", None);
     world.run_for(Duration::from_millis(1_500));
-    assert_eq!(world.crashes.most_under("bad"), 1);
-    assert_eq!(world.crashes.most_under("lasting"), 1);
+    assert_eq!(world.crashes.max_crashes_of("bad"), 1);
+    assert_eq!(world.crashes.max_crashes_of("lasting"), 1);
     assert_eq!(world.run_until_over("bad", Duration::from_secs(20)), Some(JobOutcome::Failed));
     world.run_for(Duration::from_secs(4));
     assert_eq!(world.at_work_of("lasting"), 1);
--- a/crates/jackdawpier_fleet/tests/world/machines.rs
+++ b/crates/jackdawpier_fleet/tests/world/machines.rs
@@ -109,7 +109,7 @@
             return MachineOrderOutcome::Busy;
         }
         if let Some(executor) = machine.executor.clone() {
-            self.check_all_spared(&executor);
+            self.check_may_miss_on(&executor);
         }
         let machine = self.machines.get_mut(&order.machine).expect("it was read above");
         let takes = match &order.work {
--- a/crates/jackdawpier_fleet/tests/world/mod.rs
+++ b/crates/jackdawpier_fleet/tests/world/mod.rs
@@ -7,7 +7,7 @@
 pub mod accounts;
 pub mod crashes;
 pub mod executor;
-pub mod lasting;
+pub mod long_running;
 mod machines;
 mod orders;
 
@@ -24,7 +24,7 @@
     record::{JobOutcome, JobRecord},
     spec::{JobSpec, Queue, Resources, Service, StepSpec, Submission, TaskKey},
 };
-use lasting::Lasting;
+use long_running::LongRunning;
 pub use orders::Delivery;
 
 /// Time of day at the world's begin.
@@ -148,7 +148,7 @@
     /// Tasks that crash their executors, and what has crashed under whom.
     pub crashes: Crashes,
     /// What has been at work of work that lasts.
-    pub lasting: Lasting,
+    pub long_running: LongRunning,
 }
 
 impl World {
@@ -196,7 +196,7 @@
             labels: BTreeMap::new(),
             restarts_keep_ids: false,
             crashes: Crashes::default(),
-            lasting: Lasting::default(),
+            long_running: LongRunning::default(),
         };
         for pool in pools {
             for number in 0..per_pool {
@@ -379,8 +379,8 @@
     fn advance(&mut self) {
         let now = self.now;
         self.executors.values_mut().for_each(|executor| executor.advance(now));
-        self.crash_by_tasks();
-        self.note_lasting();
+        self.apply_task_crashes();
+        self.note_long_running();
         self.return_machines();
         let is_listing = now.as_millis().is_multiple_of(200);
         if is_listing {
@@ -476,7 +476,7 @@
                 .iter()
                 .for_each(|one| println!("{:?} {one:?}", self.now));
         }
-        self.lasting.pauses.extend(pauses);
+        self.long_running.backoffs.extend(pauses);
         for command in self.fleet.take_commands() {
             if std::env::var("TRACE").is_ok() {
                 println!("{:?} fence {}: {command:?}", self.now, self.fence);
--- a/crates/jackdawpier_fleet/tests/world/orders.rs
+++ b/crates/jackdawpier_fleet/tests/world/orders.rs
@@ -79,7 +79,7 @@
         if let Command::Stop { executor, task, .. } = &sent.command
             && self.executors.get(executor).is_some_and(FakeExecutor::is_reachable)
         {
-            self.check_spared(&executor.clone(), &task.clone());
+            self.check_may_miss(&executor.clone(), &task.clone());
         }
         let end = self.execute(sent);
         match (&sent.command, end) {
