--- a/crates/jackdawpier_fleet/src/fleet.rs
+++ b/crates/jackdawpier_fleet/src/fleet.rs
@@ -132,7 +132,7 @@
     changed_jobs: VecDeque<JobId>,
     /// Ended jobs with the time of their end, oldest first.
     ended_jobs: VecDeque<(JobId, Now)>,
-    /// Those that an earlier owner ended.
+    /// Jobs that ended under a previous owner.
     inherited_ended_jobs: BTreeMap<JobId, InheritedEndedJob>,
     advice: BTreeMap<(JobId, usize), Advice>,
     commands: Vec<Command>,
@@ -155,7 +155,7 @@
     /// Labels that jobs have required since this owner took over.
     requested_labels: BTreeSet<Label>,
     next_batch: u64,
-    executors_tried: u64,
+    executors_compared: u64,
     wave_machines_counted: u64,
     /// Wall clock at the last tick, in milliseconds since the Unix epoch.
     wall_ms: u64,
@@ -196,7 +196,7 @@
             arrivals: BTreeMap::new(),
             requested_labels: BTreeSet::new(),
             next_batch: 0,
-            executors_tried: 0,
+            executors_compared: 0,
             wave_machines_counted: 0,
             wall_ms: 0,
         }
@@ -266,8 +266,8 @@
 
     /// Returns how many executors have been compared with tasks so far, as a measure of the cost of
     /// placement.
-    pub fn executors_tried(&self) -> u64 {
-        self.executors_tried
+    pub fn executors_compared(&self) -> u64 {
+        self.executors_compared
     }
 
     /// Takes the commands that were issued since the last call.
--- a/crates/jackdawpier_fleet/src/fleet/defragmentation.rs
+++ b/crates/jackdawpier_fleet/src/fleet/defragmentation.rs
@@ -102,7 +102,7 @@
                 continue;
             }
             round.executors.retain(|id| !defragmentation.reserved.contains(id));
-            round.has_held = true;
+            round.has_reservation = true;
             self.defragmentations.active.insert(service, defragmentation);
         }
     }
--- a/crates/jackdawpier_fleet/src/fleet/label_reclaim.rs
+++ b/crates/jackdawpier_fleet/src/fleet/label_reclaim.rs
@@ -81,7 +81,7 @@
         let rounds = self.start_rounds(now);
         let shares = label_shares(pools, label);
         let is_below_share =
-            shortage.entitled.is_some() && pools[to].holds_with_label(Some(label)) < shares[to];
+            shortage.entitled.is_some() && pools[to].machines_with_label(Some(label)) < shares[to];
         let is_candidate = |info: &&MachineInfo| {
             let is_movable = info.state == MachineState::Up
                 && info.labels.contains(label)
@@ -91,7 +91,7 @@
                 && !self.machines.is_locked(now, &info.id);
             let Some(pool) = pools.get(&info.pool).filter(|_| is_movable) else { return false };
             let exceeds_share =
-                || is_below_share && pool.holds_with_label(Some(label)) > shares[&info.pool];
+                || is_below_share && pool.machines_with_label(Some(label)) > shares[&info.pool];
             let has_spare = || pool.can_spare(&info.labels);
             has_spare() && self.can_vacate(info, Some(label), &rounds)
                 || exceeds_share() && self.can_vacate(info, None, &rounds)
--- a/crates/jackdawpier_fleet/src/fleet/label_shares.rs
+++ b/crates/jackdawpier_fleet/src/fleet/label_shares.rs
@@ -38,7 +38,7 @@
     pools: &BTreeMap<PoolName, PoolView>,
     label: &Label,
 ) -> BTreeMap<PoolName, usize> {
-    let machines = pools.values().map(|pool| pool.holds_with_label(Some(label))).sum();
+    let machines = pools.values().map(|pool| pool.machines_with_label(Some(label))).sum();
     let bounds: Vec<ShareBounds> = pools.values().map(|pool| pool.share_bounds(label)).collect();
     let equal = max_equal_share(machines, &bounds);
     pools.keys().zip(&bounds).map(|(name, bounds)| (name.clone(), bounds.clamp(equal))).collect()
--- a/crates/jackdawpier_fleet/src/fleet/placement.rs
+++ b/crates/jackdawpier_fleet/src/fleet/placement.rs
@@ -57,7 +57,7 @@
 }
 
 impl Fleet {
-    /// Places waiting tasks in the order of [`crate::order`].
+    /// Places waiting tasks in the order of [`crate::job_rank`].
     pub(super) fn place(&mut self, now: Now) {
         let mut waiting: Vec<(Rank, JobId)> = Vec::new();
         for (queue, ids) in &self.open_jobs {
@@ -90,8 +90,8 @@
         self.queues.get(&job.queue).map(|queue| &queue.service)
     }
 
-    /// Places startable tasks of a job, at most `most` single tasks or gangs, and returns whether
-    /// any was placed.
+    /// Places startable tasks of a job, at most `max_starts` single tasks or gangs, and returns
+    /// whether any was placed.
     pub(super) fn place_job(
         &mut self,
         now: Now,
@@ -201,7 +201,7 @@
         if needs_advice && !self.ensure_advice(now, id, index, round) {
             return None;
         }
-        self.executors_tried += round.executors.len() as u64;
+        self.executors_compared += round.executors.len() as u64;
         let job = &self.jobs[id];
         let remote = self.remote_placement(now, round, job, index);
         let advice = self.advice.get(&(id.clone(), job.slot(index))).filter(|_| needs_advice);
--- a/crates/jackdawpier_fleet/src/fleet/placement_round.rs
+++ b/crates/jackdawpier_fleet/src/fleet/placement_round.rs
@@ -36,8 +36,8 @@
     unplaceable: Vec<(Option<Label>, Resources)>,
     /// Scarce labels of each executor that has any; see [`Fleet::scarce_labels`].
     scarce_labels: SortedHashMap<ExecutorId, Vec<Label>>,
-    /// Room is held for a job already, see [`super::held_room`].
-    pub(super) has_held: bool,
+    /// Whether executors are reserved for a job; see [`super::reservations`].
+    pub(super) has_reservation: bool,
     /// Number of starved jobs that were tried and found no room.
     pub(super) unplaced_starved_jobs: usize,
     /// Number of executors that start nothing, so that a suspect task can start there in isolation.
--- a/crates/jackdawpier_fleet/src/fleet/pool_view.rs
+++ b/crates/jackdawpier_fleet/src/fleet/pool_view.rs
@@ -34,11 +34,11 @@
 #[derive(Debug, Default, Clone)]
 pub(super) struct PoolView {
     /// Machines that are up and stay in the pool.
-    pub(super) up: usize,
+    pub(super) up_machines: usize,
     /// Machines on their way to the pool.
-    arriving: usize,
+    arriving_machines: usize,
     /// Machines of the pool that run nothing.
-    pub(super) idle: Vec<MachineId>,
+    pub(super) idle_machines: Vec<MachineId>,
     /// Capacity of one machine.
     machine_capacity: Resources,
     /// Demand of running, waiting and arriving tasks.
@@ -46,7 +46,7 @@
     /// Machines that the waiting long-running steps need under their limits on tasks per executor.
     min_machines: usize,
     /// Additional machines that a stuck job needs beside long-running tasks.
-    missing_machines: usize,
+    missing_for_stuck: usize,
     /// The task that has been stuck longest.
     pub(super) stuck: Option<StuckTask>,
     /// Supply and demand by label, for the labels that open jobs require.
@@ -60,23 +60,25 @@
         for_demand.max(self.min_machines)
     }
 
-    pub(super) fn holds(&self) -> usize {
-        self.up + self.arriving
+    pub(super) fn total_machines(&self) -> usize {
+        self.up_machines + self.arriving_machines
     }
 
     /// Returns the number of machines that are up or on their way; with a label only those that
     /// have it.
-    pub(super) fn holds_with_label(&self, label: Option<&Label>) -> usize {
-        label.map_or(self.holds(), |label| self.labels.get(label).map_or(0, |need| need.machines))
+    pub(super) fn machines_with_label(&self, label: Option<&Label>) -> usize {
+        label.map_or(self.total_machines(), |label| {
+            self.labels.get(label).map_or(0, |need| need.machines)
+        })
     }
 
-    pub(super) fn lacks(&self) -> usize {
-        let for_demand = self.needed_machines().saturating_sub(self.holds());
-        for_demand.max(self.missing_machines.saturating_sub(self.arriving))
+    pub(super) fn missing_machines(&self) -> usize {
+        let for_demand = self.needed_machines().saturating_sub(self.total_machines());
+        for_demand.max(self.missing_for_stuck.saturating_sub(self.arriving_machines))
     }
 
     /// Returns the number of missing machines for each label.
-    pub(super) fn lacks_by_label(&self) -> impl Iterator<Item = (&Label, usize)> {
+    pub(super) fn missing_by_label(&self) -> impl Iterator<Item = (&Label, usize)> {
         self.labels
             .iter()
             .map(|(label, need)| (label, need.missing_machines(&self.machine_capacity)))
@@ -111,7 +113,7 @@
 
     /// Adds a machine with these labels that is on its way to the pool.
     pub(super) fn add_arriving_machine(&mut self, labels: &[Label]) {
-        self.arriving += 1;
+        self.arriving_machines += 1;
         let room = self.machine_capacity;
         self.add_machine_labels(labels, &room);
     }
@@ -157,13 +159,13 @@
             if known.is_draining || operation.is_some() || executor.is_frozen {
                 continue;
             }
-            pool.up += 1;
+            pool.up_machines += 1;
             pool.add_machine_labels(&info.labels, &executor.free());
             let shared = info.labels.iter().filter(|label| scarce.contains(label));
             shared.for_each(|label| self.add_labelled_load(pool, label, executor));
             let is_held = self.machines.is_locked(now, &info.id);
             if executor.tasks.is_empty() && executor.is_synced && !is_held {
-                pool.idle.push(info.id.clone());
+                pool.idle_machines.push(info.id.clone());
             }
         }
         self.add_waiting(now, &mut pools);
@@ -248,7 +250,7 @@
                 continue;
             }
             if job.step(index).required_label.is_none() {
-                pool.missing_machines = pool.missing_machines.max(missing);
+                pool.missing_for_stuck = pool.missing_for_stuck.max(missing);
             }
             let stuck = StuckTask { since, task: (job.id.clone(), index) };
             if pool.stuck.as_ref().is_none_or(|other| since < other.since) {
--- a/crates/jackdawpier_fleet/src/fleet/pools.rs
+++ b/crates/jackdawpier_fleet/src/fleet/pools.rs
@@ -66,7 +66,7 @@
 
     /// Returns how many machines each pool keeps even if it needs fewer now.
     fn kept_machines(&self, pools: &BTreeMap<PoolName, PoolView>) -> usize {
-        let total: usize = pools.values().map(PoolView::holds).sum();
+        let total: usize = pools.values().map(PoolView::total_machines).sum();
         let keep_percent =
             if self.settings.policy.keeps_minimum_share { KEPT_SHARE_PERCENT } else { 0 };
         (total * keep_percent / 100).div_ceil(pools.len().max(1))
@@ -118,9 +118,9 @@
         fits: impl Fn(&MachineId) -> bool,
     ) -> Option<MachineId> {
         let surplus = |pool: &PoolView| {
-            pool.up
+            pool.up_machines
                 .saturating_sub(kept.max(pool.needed_machines() + SPARE_MACHINES))
-                .min(pool.idle.len())
+                .min(pool.idle_machines.len())
         };
         let mut donors: Vec<(usize, &mut PoolView)> = pools
             .iter_mut()
@@ -131,12 +131,12 @@
         donors.sort_by_key(|(surplus, _)| std::cmp::Reverse(*surplus));
         for (_, pool) in donors {
             let position = pool
-                .idle
+                .idle_machines
                 .iter()
                 .position(|machine| fits(machine) && pool.can_spare(self.labels_of(machine)));
             let Some(position) = position else { continue };
-            let machine = pool.idle.swap_remove(position);
-            pool.up -= 1;
+            let machine = pool.idle_machines.swap_remove(position);
+            pool.up_machines -= 1;
             pool.remove_machine_labels(self.labels_of(&machine));
             return Some(machine);
         }
@@ -166,13 +166,14 @@
 fn shortages_of(pools: &BTreeMap<PoolName, PoolView>, scarce: &[&Label]) -> Vec<Shortage> {
     let mut shortages = Vec::new();
     for (name, pool) in pools {
-        let by_label = pool.lacks_by_label().map(|(label, lacks)| (Some(label), lacks));
-        let lacking = by_label.chain([(None, pool.lacks())]).filter(|(_, lacks)| *lacks > 0);
+        let by_label = pool.missing_by_label().map(|(label, lacks)| (Some(label), lacks));
+        let lacking =
+            by_label.chain([(None, pool.missing_machines())]).filter(|(_, lacks)| *lacks > 0);
         shortages.extend(lacking.map(|(label, lacks)| {
             Shortage {
                 pool: name.clone(),
                 label: label.cloned(),
-                holds: pool.holds_with_label(label),
+                holds: pool.machines_with_label(label),
                 lacks,
                 entitled: label
                     .filter(|label| scarce.contains(label))
--- a/crates/jackdawpier_fleet/src/fleet/reports.rs
+++ b/crates/jackdawpier_fleet/src/fleet/reports.rs
@@ -50,20 +50,23 @@
         let lease = self.settings.lease;
         let jobs = &self.jobs;
         let executor = self.executors.get_mut(id).filter(|executor| !executor.has_ended)?;
-        let ends = |(id, index): &TaskRef| {
+        let ends_by_itself = |(id, index): &TaskRef| {
             jobs.get(id).is_some_and(|job| !job.step(*index).is_long_running)
         };
-        let expects_end = executor.tasks.iter().any(ends);
+        let expects_end = executor.tasks.iter().any(ends_by_itself);
         // The changes of a removed job became durable long before.
         let acknowledged =
             executor.acknowledge(|job| jobs.get(job).map_or(u64::MAX, |job| job.durable_changes));
-        let is_heard = executor.clock_read_at().is_some();
+        let is_clock_known = executor.clock_read_at().is_some();
         // An executor that doesn't report incarnations has another id in each.
-        let is_same_incarnation = executor.failed_at.is_none() || executor.incarnation.is_none();
-        let may_wait =
-            executor.is_synced && is_heard && !executor.has_unacknowledged() && is_same_incarnation;
-        let acknowledged = if is_same_incarnation { acknowledged } else { 0 };
-        let lease_until = if is_same_incarnation { executor.grant_lease(now, lease) } else { None };
+        let is_incarnation_certain = executor.failed_at.is_none() || executor.incarnation.is_none();
+        let may_wait = executor.is_synced
+            && is_clock_known
+            && !executor.has_unacknowledged()
+            && is_incarnation_certain;
+        let acknowledged = if is_incarnation_certain { acknowledged } else { 0 };
+        let lease_until =
+            if is_incarnation_certain { executor.grant_lease(now, lease) } else { None };
         let is_frozen = executor.is_frozen;
         Some(HoldDirective { acknowledged, lease_until, may_wait, expects_end, is_frozen })
     }
@@ -83,20 +86,20 @@
     /// Applies an executor's answer to a hold request that was sent at `sent_at`.
     pub fn hold_answered(&mut self, now: Now, sent_at: Now, id: &ExecutorId, report: &HoldReport) {
         let Some(executor) = self.executors.get_mut(id) else { return };
-        let life = executor.report_origin(report);
-        match life {
+        let origin = executor.report_origin(report);
+        match origin {
             ReportOrigin::Current => {}
             ReportOrigin::Previous => return,
-            ReportOrigin::New(life) => executor.begin_incarnation(now, life),
+            ReportOrigin::New(incarnation) => executor.begin_incarnation(now, incarnation),
         }
         let FleetSettings { lease, longest_lease, .. } = self.settings;
         executor.note_answer(now, report.clock, lease, longest_lease);
-        let seen = executor.last_processed_end;
+        let last_processed = executor.last_processed_end;
         let is_complete = report.ended.len() < MAX_ENDS_PER_REPORT;
-        for end in report.ended.iter().filter(|end| end.sequence > seen) {
+        for end in report.ended.iter().filter(|end| end.sequence > last_processed) {
             self.record_end(now, id, end);
         }
-        if matches!(life, ReportOrigin::New(_)) {
+        if matches!(origin, ReportOrigin::New(_)) {
             self.settle_previous_incarnation(now, sent_at, id, report);
         }
         self.apply_running_tasks(now, sent_at, id, report, is_complete);
@@ -112,12 +115,12 @@
         }
         let job_id = end.task.job.clone();
         self.apply_end(now, id, end);
-        let needed = self.jobs.get_mut(&job_id).map_or(0, |job| {
+        let needed_changes = self.jobs.get_mut(&job_id).map_or(0, |job| {
             job.unacknowledged_ends.push((job.changes, id.clone()));
             job.changes
         });
         if let Some(executor) = self.executors.get_mut(id) {
-            executor.note_end(end.sequence, job_id, needed);
+            executor.note_end(end.sequence, job_id, needed_changes);
         }
     }
 
@@ -193,14 +196,14 @@
         }
     }
 
-    fn track_failures(&mut self, now: Now, id: &ExecutorId, how: EndKind) {
+    fn track_failures(&mut self, now: Now, id: &ExecutorId, kind: EndKind) {
         let Some(executor) = self.executors.get_mut(id) else { return };
-        match how {
+        match kind {
             EndKind::Done => executor.consecutive_failures = 0,
             EndKind::Failed => {
                 executor.consecutive_failures += 1;
-                let leaves_out = self.settings.policy.excludes_failing_executors;
-                if leaves_out && executor.consecutive_failures >= EXCLUSION_FAILURES {
+                let excludes_failing = self.settings.policy.excludes_failing_executors;
+                if excludes_failing && executor.consecutive_failures >= EXCLUSION_FAILURES {
                     let doublings = (executor.consecutive_failures - EXCLUSION_FAILURES).min(2);
                     let exclusion = (FIRST_EXCLUSION * (1 << doublings)).min(MAX_EXCLUSION);
                     executor.avoid_until = executor.avoid_until.max(now + exclusion);
@@ -301,7 +304,7 @@
         present: &BTreeMap<TaskRef, RunNumber>,
     ) {
         let Some(executor) = self.executors.get(id) else { return };
-        let life = executor.incarnation;
+        let incarnation = executor.incarnation;
         let unlisted: Vec<TaskRef> =
             executor.tasks.iter().filter(|task| !present.contains_key(*task)).cloned().collect();
         let stop_bound = self.settings.stop_timeout + STOP_MARGIN;
@@ -311,8 +314,8 @@
             match &task.phase {
                 // The fence prevents a late order of a previous owner from starting the task now.
                 Phase::Inherited { .. } => {
-                    match (task.placed_incarnation, life) {
-                        (Some(placed), Some(life)) if placed != life => {
+                    match (task.placed_incarnation, incarnation) {
+                        (Some(placed), Some(current)) if placed != current => {
                             let signs = LastContact::default();
                             let tasks = std::slice::from_ref(&task_ref);
                             self.note_crash(now, id, true, signs, tasks);
--- a/crates/jackdawpier_fleet/src/fleet/reservations.rs
+++ b/crates/jackdawpier_fleet/src/fleet/reservations.rs
@@ -80,7 +80,7 @@
 
     /// Reserves executors for a job that found no room; at most one job per service.
     pub(super) fn reserve_executors(&mut self, now: Now, id: &JobId, round: &mut PlacementRound) {
-        if round.has_held || !self.settings.policy.reserves_room {
+        if round.has_reservation || !self.settings.policy.reserves_room {
             return;
         }
         let Some(job) = self.jobs.get(id) else { return };
@@ -93,7 +93,7 @@
         if reserved.is_empty() {
             return;
         }
-        round.has_held = true;
+        round.has_reservation = true;
         round.executors.retain(|executor| !reserved.contains(executor));
     }
 
--- a/crates/jackdawpier_fleet/src/fleet/vacating.rs
+++ b/crates/jackdawpier_fleet/src/fleet/vacating.rs
@@ -176,12 +176,12 @@
     /// may have been delayed after the decision.
     pub fn may_send_machine_order(&self, now: Now, order: &MachineOrder) -> bool {
         let operation = self.machines.operations.get(&order.machine);
-        let is_wanted = operation.is_some_and(|operation| {
-            let is_under_way =
+        let is_current = operation.is_some_and(|operation| {
+            let is_in_flight =
                 matches!(operation.stage, OperationStage::Ordered { is_in_flight: true, .. });
-            operation.work == order.work && is_under_way
+            operation.work == order.work && is_in_flight
         });
-        is_wanted && self.can_lose_machine(now, &order.machine)
+        is_current && self.can_lose_machine(now, &order.machine)
     }
 
     /// Stops one long-running task on a machine that can't be taken yet, so that it can be later:
@@ -302,16 +302,16 @@
     /// Cancels the operation of one vacating machine if a long-running task has waited for long and
     /// could run there.
     pub(super) fn reopen_machine(&mut self, now: Now) {
-        let waits = |job: &Job| {
-            let is_long = |index: &&TaskIndex| {
+        let long_waiting_task = |job: &Job| {
+            let has_waited_long = |index: &&TaskIndex| {
                 job.step(**index).is_long_running
                     && job.tasks[**index].phase == Phase::Waiting
                     && now.saturating_sub(job.tasks[**index].waiting_since) >= REOPEN_FOR_WAIT
             };
-            job.startable.iter().find(is_long).copied()
+            job.startable.iter().find(has_waited_long).copied()
         };
-        let open = self.open_jobs.values().flatten().filter_map(|id| self.jobs.get(id));
-        let mut waiting = open.filter_map(|job| Some((job, waits(job)?)));
+        let open_jobs = self.open_jobs.values().flatten().filter_map(|id| self.jobs.get(id));
+        let mut waiting = open_jobs.filter_map(|job| Some((job, long_waiting_task(job)?)));
         let machine = waiting.find_map(|(job, index)| self.reopenable_machine(job, index));
         if let Some(machine) = machine {
             self.machines.operations.remove(&machine);
--- a/crates/jackdawpier_fleet/tests/full_pool.rs
+++ b/crates/jackdawpier_fleet/tests/full_pool.rs
@@ -14,7 +14,7 @@
 #[test]
 fn burst_cost() {
     let mut world = World::new(&["pool"], EXECUTORS as usize);
-    let before = world.fleet.executors_tried();
+    let before = world.fleet.executors_compared();
     for number in 0..JOBS {
         let cores = 2 + number % 3;
         let spec = job(vec![step(8, cores, 2000), step(4, cores, 2000)]);
@@ -23,7 +23,7 @@
     let (now, wall_ms) = (world.now, world.wall_ms());
     world.fleet.tick(now, wall_ms);
     let placed = EXECUTORS * 4;
-    let tried = world.fleet.executors_tried() - before;
+    let tried = world.fleet.executors_compared() - before;
     assert!(tried <= (placed + 8) * EXECUTORS, "{tried} executors compared");
 }
 
