--- a/crates/jackdawpier_coord/src/configuration.rs
+++ b/crates/jackdawpier_coord/src/configuration.rs
@@ -256,8 +256,8 @@
     /// with a live lease and the ready peers with a recent heartbeat. The latter may serve without a
     /// lease while the store is out.
     ///
-    /// Returns `None` if this can't be determined, because the view is older than the revision or a
-    /// majority of the entries that may be serving hasn't reported. Entries that serve without a lease
+    /// Returns `None` if this can't be determined, because the view is older than the revision or
+    /// fewer than a majority of the entries that may be serving have reported. Entries that serve without a lease
     /// have a majority, so any other majority overlaps with them.
     pub fn lagging_entries(
         &self,
--- a/crates/jackdawpier_jobs/src/queue.rs
+++ b/crates/jackdawpier_jobs/src/queue.rs
@@ -115,7 +115,7 @@
     preempting: BTreeSet<JobId>,
 }
 
-/// The jobs of one shard.
+/// Durable job queue of one shard.
 #[derive(Debug)]
 pub struct JobQueue {
     task_lease: Duration,
@@ -126,9 +126,10 @@
     next_ticket: Ticket,
     /// Writes in flight, by number.
     uncommitted: VecDeque<(u64, JobId)>,
-    /// Jobs that are claimed, from the claim until the end of the attempt.
+    /// Jobs assigned to a worker, from the claim until the end of the attempt.
     claimed: BTreeSet<JobId>,
     by_worker: BTreeMap<WorkerId, BTreeSet<JobId>>,
+    /// When the retention of each finished job ends.
     retained_until: BTreeSet<(Now, JobId)>,
     workers: Workers,
     size_estimator: SizeEstimator,
