--- a/crates/jackdawpier_bench/src/days.rs
+++ b/crates/jackdawpier_bench/src/days.rs
@@ -290,7 +290,7 @@
         let held: Vec<bool> = (0..self.needs.len())
             .map(|ix| {
                 let wave = self.wave.as_ref();
-                wave.is_some_and(|(wave, _)| wave.has_remaining_in(&self.fleet, ix as PoolIx))
+                wave.is_some_and(|(wave, _)| wave.has_unfinished_in(&self.fleet, ix as PoolIx))
             })
             .collect();
         let outlook = |ix: PoolIx| ShrinkPolicy {
--- a/crates/jackdawpier_capacity/src/forecast.rs
+++ b/crates/jackdawpier_capacity/src/forecast.rs
@@ -7,7 +7,7 @@
     planner::Ceilings,
 };
 
-/// Forecast horizon for growth; twice the time that a move takes.
+/// Forecast horizon for growth; about twice the time that a move takes.
 const GROW_HORIZON: Duration = Duration::from_secs(6 * 60);
 /// Forecast horizon for shrinking.
 const SHRINK_HORIZON: Duration = Duration::from_secs(3 * 3600);
@@ -42,12 +42,12 @@
     ceilings: &Ceilings,
 ) -> Forecast {
     let expected = |ahead: Duration, safety_factor: f64| {
-        let (today, then) = (kind_of(time), kind_of(time + ahead));
-        if today == then {
-            return demand.max_expected(time, time + ahead, today, safety_factor);
+        let (first_kind, last_kind) = (kind_of(time), kind_of(time + ahead));
+        if first_kind == last_kind {
+            return demand.max_expected(time, time + ahead, first_kind, safety_factor);
         }
-        let before = demand.max_expected(time, time, today, safety_factor);
-        before.max(demand.max_expected(time, time + ahead, then, safety_factor))
+        let at_start = demand.max_expected(time, time, first_kind, safety_factor);
+        at_start.max(demand.max_expected(time, time + ahead, last_kind, safety_factor))
     };
     let shrink_horizon =
         if ceilings.buffer_instances.is_some() { PROMPT_SHRINK_HORIZON } else { SHRINK_HORIZON };
--- a/crates/jackdawpier_capacity/src/planner.rs
+++ b/crates/jackdawpier_capacity/src/planner.rs
@@ -14,7 +14,8 @@
     reason::MoveReason,
 };
 
-/// Maximum number of instances examined for one choice.
+/// Number of instances examined for one choice; a choice among the free instances examines at least
+/// two per zone.
 const MAX_CANDIDATES: usize = 16;
 
 /// A planned move of an instance.
--- a/crates/jackdawpier_capacity/src/wave.rs
+++ b/crates/jackdawpier_capacity/src/wave.rs
@@ -1,9 +1,9 @@
 //! Maintenance waves: rolling maintenance of many instances within the classes' budgets.
 //!
-//! A wave starts with a canary, then maintains as many instances at once as every budget allows,
-//! after the charge for current failures. It pauses itself when too many of its recent steps fail.
-//! Each step is recorded before it is carried out, so a new holder continues without repeating a
-//! reboot.
+//! A wave starts with a canary, then maintains as many instances at once as every budget allows;
+//! current failures count against the budgets first. It pauses itself when too many of its recent
+//! steps fail. Each step is recorded before it is carried out, so a new holder continues without
+//! repeating a reboot.
 
 use std::{
     cmp::Reverse,
@@ -214,18 +214,19 @@
         let reserved_free = free_reserve(fleet) + missing_surge(fleet) as usize;
         let mut free_room = fleet.free_count().saturating_sub(reserved_free);
         let mut starts = Vec::new();
-        let mut hold = None;
+        let mut hold_reason = None;
         for ix in self.sorted_pending(fleet) {
             let instance = fleet.instance(ix);
             let pool = instance.pool;
             let room = if pool.is_some() { &mut serving_room } else { &mut free_room };
             if *room == 0 {
-                hold = Some(if is_canary_phase { HoldReason::Canary } else { HoldReason::Budget });
+                hold_reason =
+                    Some(if is_canary_phase { HoldReason::Canary } else { HoldReason::Budget });
                 continue;
             }
             let is_ready = matches!(instance.phase, Phase::Serving | Phase::Free);
             if !is_ready || !fleet.can_take_out(ix) {
-                hold = Some(HoldReason::Budget);
+                hold_reason = Some(HoldReason::Budget);
                 continue;
             }
             *room -= 1;
@@ -239,7 +240,7 @@
             self.progress.insert(ix, StepProgress::Out);
             starts.push(ix);
         }
-        (starts, hold)
+        (starts, hold_reason)
     }
 
     /// Returns whether the wave is still in its canary phase.
@@ -253,7 +254,7 @@
     }
 
     /// Returns whether the wave has unfinished steps on instances of this pool.
-    pub fn has_remaining_in(&self, fleet: &Fleet, pool: PoolIx) -> bool {
+    pub fn has_unfinished_in(&self, fleet: &Fleet, pool: PoolIx) -> bool {
         self.unfinished_by_pool(fleet)[pool as usize] > 0
     }
 
@@ -280,7 +281,7 @@
         }
         let requested: u32 = fleet.pools().iter().map(|pool| pool.wave_surge).sum();
         let received = requested.saturating_sub(missing_surge(fleet));
-        proportional(&unfinished, fleet.free_count() as u32 + received)
+        proportional_shares(&unfinished, fleet.free_count() as u32 + received)
     }
 
     /// Returns a surge of one for the pool with the largest margin if no pool can do without an
@@ -292,10 +293,10 @@
         let has_canary =
             !self.out_serving.is_empty() || self.pending.iter().any(|ix| can_take_out(&ix));
         let margin = |pool: &Pool| pool.cautious_margin(&pool.committed);
-        let nearest = (0..unfinished.len())
+        let pool_with_most_margin = (0..unfinished.len())
             .filter(|ix| unfinished[*ix] > 0)
             .max_by_key(|ix| (margin(&fleet.pools()[*ix]), Reverse(*ix)));
-        if !has_canary && let Some(pool) = nearest {
+        if !has_canary && let Some(pool) = pool_with_most_margin {
             surge_by_pool[pool] = 1;
         }
         surge_by_pool
@@ -362,13 +363,13 @@
 
 /// Returns all of `wanted` if `available` suffices, else the same share of each, rounded up: a pool
 /// without any surge would block the whole wave.
-fn proportional(wanted: &[u32], available: u32) -> Vec<u32> {
-    let part = |parts: u32| -> Vec<u32> {
+fn proportional_shares(wanted: &[u32], available: u32) -> Vec<u32> {
+    let shares = |parts: u32| -> Vec<u32> {
         wanted.iter().map(|count| (count * parts).div_ceil(SURGE_SHARE_PARTS)).collect()
     };
     (1..=SURGE_SHARE_PARTS)
         .rev()
-        .map(part)
+        .map(shares)
         .find(|surge_by_pool| surge_by_pool.iter().sum::<u32>() <= available)
         .unwrap_or_else(|| at_most_one_each(wanted, available))
 }
--- a/crates/jackdawpierd/src/capacity.rs
+++ b/crates/jackdawpierd/src/capacity.rs
@@ -403,7 +403,7 @@
         let outlooks: HashMap<PoolIx, ShrinkPolicy> = forecasts
             .iter()
             .map(|(pool, forecast)| {
-                let is_held = wave.is_some_and(|wave| wave.has_remaining_in(&self.fleet, *pool));
+                let is_held = wave.is_some_and(|wave| wave.has_unfinished_in(&self.fleet, *pool));
                 let later = forecast.later_need;
                 (
                     *pool,
