--- a/crates/jackdawpier_fleet/src/fleet/maintenance.rs
+++ b/crates/jackdawpier_fleet/src/fleet/maintenance.rs
@@ -134,7 +134,7 @@
         }
         let operations = &self.machines.operations;
         let is_busy = |machine: &MachineId| operations.contains_key(machine);
-        let open: Vec<MachineId> = progress
+        let pending: Vec<MachineId> = progress
             .wave
             .machines
             .iter()
@@ -148,16 +148,16 @@
             })
             .cloned()
             .collect();
-        let under_way = operations
+        let in_progress = operations
             .values()
             .filter(|operation| operation.work == MachineWork::Maintain(number))
             .count();
-        let most = progress.wave.max_away.max(1);
-        let left = progress.due.saturating_sub(now).saturating_sub(WAVE_DEADLINE_MARGIN);
-        let each = self.settings.maintenance + MACHINE_TURNAROUND;
-        let batches = (left.as_secs_f64() / each.as_secs_f64()).max(1.0);
-        let needed = ((open.len() + under_way) as f64 / batches).ceil() as usize;
-        let mut ranked: Vec<(bool, usize, MachineId)> = open
+        let max_away = progress.wave.max_away.max(1);
+        let time_left = progress.due.saturating_sub(now).saturating_sub(WAVE_DEADLINE_MARGIN);
+        let time_per_batch = self.settings.maintenance + MACHINE_TURNAROUND;
+        let batches = (time_left.as_secs_f64() / time_per_batch.as_secs_f64()).max(1.0);
+        let needed = ((pending.len() + in_progress) as f64 / batches).ceil() as usize;
+        let mut ranked: Vec<(bool, usize, MachineId)> = pending
             .into_iter()
             .map(|machine| {
                 let (long_running, others) = self.task_counts_on(&machine);
@@ -166,8 +166,8 @@
             .collect();
         ranked.sort_unstable();
         let rounds = self.start_rounds(now);
-        let mut slots = most.saturating_sub(under_way);
-        let mut wanted = needed.min(most).saturating_sub(under_way);
+        let mut slots = max_away.saturating_sub(in_progress);
+        let mut wanted = needed.min(max_away).saturating_sub(in_progress);
         for (_, load, machine) in ranked {
             if slots == 0 {
                 break;
@@ -193,8 +193,8 @@
             let work = MachineWork::Maintain(*number);
             let operations = self.machines.operations.values();
             let away = operations.filter(|one| one.work == work && one.is_away()).count();
-            let most = progress.wave.max_away.max(1);
-            (*number, most.saturating_sub(away + self.away_by_previous_owner(now, progress)))
+            let max_away = progress.wave.max_away.max(1);
+            (*number, max_away.saturating_sub(away + self.away_by_previous_owner(now, progress)))
         });
         let slots = slots.collect();
         self.wave_machines_counted += counted as u64;
@@ -218,13 +218,13 @@
         &mut self,
         now: Now,
         order: &MachineOrder,
-        end: MachineOrderOutcome,
+        outcome: MachineOrderOutcome,
     ) {
         let Some(operation) = self.machines.operations.get_mut(&order.machine) else { return };
         if operation.work != order.work {
             return;
         }
-        match end {
+        match outcome {
             MachineOrderOutcome::Taken => {
                 operation.stage = OperationStage::Away { since: now };
                 if let MachineWork::Maintain(number) = order.work
@@ -272,11 +272,11 @@
         if progress.is_completed {
             return;
         }
-        let is_over =
+        let is_complete =
             progress.wave.machines.iter().all(|machine| {
                 progress.maintained.contains(machine) || !listed.contains_key(machine)
             });
-        if is_over {
+        if is_complete {
             progress.is_completed = true;
             self.commands.push(Command::Wave(progress.state()));
         }
--- a/crates/jackdawpier_fleet/src/fleet/probation.rs
+++ b/crates/jackdawpier_fleet/src/fleet/probation.rs
@@ -47,9 +47,9 @@
 
     /// Whether the isolated task on an executor is on probation.
     pub(super) fn is_isolating_probation(&self, executor: &Executor) -> bool {
-        executor.isolated_start.as_ref().is_some_and(|watch| {
-            let job = self.jobs.get(&watch.task.0);
-            job.is_some_and(|job| job.is_on_probation(watch.task.1))
+        executor.isolated_start.as_ref().is_some_and(|start| {
+            let job = self.jobs.get(&start.task.0);
+            job.is_some_and(|job| job.is_on_probation(start.task.1))
         })
     }
 }
--- a/crates/jackdawpier_fleet/src/fleet/runs.rs
+++ b/crates/jackdawpier_fleet/src/fleet/runs.rs
@@ -144,7 +144,7 @@
     }
     accounts.subtract_usage(job.account.as_ref(), &step.need);
     executor.allocated.subtract(&step.allocated());
-    let is_isolated = |watch: &IsolatedStart| watch.task.0 == job.id && watch.task.1 == index;
+    let is_isolated = |start: &IsolatedStart| start.task.0 == job.id && start.task.1 == index;
     if executor.isolated_start.as_ref().is_some_and(is_isolated) {
         executor.isolated_start = None;
     }
--- a/crates/jackdawpier_fleet/src/fleet/starts.rs
+++ b/crates/jackdawpier_fleet/src/fleet/starts.rs
@@ -65,7 +65,7 @@
         executor_id: &str,
         key: &TaskKey,
         run: RunNumber,
-        end: StartOutcome,
+        outcome: StartOutcome,
         is_certain: bool,
     ) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
@@ -79,10 +79,10 @@
         }
         let task_ref = (key.job.clone(), index);
         let mut executor = self.executors.get_mut(executor_id);
-        if let Some(executor) = executor.as_deref_mut().filter(|_| end.is_answer()) {
+        if let Some(executor) = executor.as_deref_mut().filter(|_| outcome.is_answer()) {
             executor.answered_at = now;
         }
-        match end {
+        match outcome {
             StartOutcome::Started => {
                 let Phase::Starting { executor: at } = task.phase.clone() else { return };
                 task.phase = Phase::Running { executor: at, since: now };
@@ -118,13 +118,15 @@
         let gang = job.step(index).is_gang.then(|| job.slot(index));
         let is_single_long_running = job.step(index).is_long_running && gang.is_none();
         let task = &mut job.tasks[index];
-        if end == StartOutcome::Unanswered && (isolation_time.is_some() || is_single_long_running) {
+        if outcome == StartOutcome::Unanswered
+            && (isolation_time.is_some() || is_single_long_running)
+        {
             // The next report shows whether the task started. A stop would waste one of the few
             // starts of a suspect, and could reach a task that has been at work for long.
             task.unanswered_at = Some(now);
             return;
         }
-        if is_certain && !matches!(end, StartOutcome::Unanswered | StartOutcome::RunIsOver) {
+        if is_certain && !matches!(outcome, StartOutcome::Unanswered | StartOutcome::RunIsOver) {
             task.note_refused();
             self.end_run(now, &task_ref, None);
         } else {
--- a/crates/jackdawpier_fleet/src/fleet/stops.rs
+++ b/crates/jackdawpier_fleet/src/fleet/stops.rs
@@ -80,7 +80,7 @@
     }
 
     /// Applies the outcome of a stop order.
-    pub fn stop_ended(&mut self, now: Now, key: &TaskKey, run: RunNumber, end: StopOutcome) {
+    pub fn stop_ended(&mut self, now: Now, key: &TaskKey, run: RunNumber, outcome: StopOutcome) {
         let Some(job) = self.jobs.get_mut(&key.job) else { return };
         let Some(index) = job.index(key) else { return };
         let task = &mut job.tasks[index];
@@ -88,7 +88,7 @@
             return;
         }
         if let Phase::Stopping { order, .. } = &mut task.phase {
-            *order = match (*order, end) {
+            *order = match (*order, outcome) {
                 (StopOrder::Taken { at }, _) => StopOrder::Taken { at },
                 (_, StopOutcome::Taken) => StopOrder::Taken { at: now },
                 (_, StopOutcome::NotTaken) => StopOrder::Unanswered,
