--- a/crates/jackdawpier_fleet/tests/histories.rs
+++ b/crates/jackdawpier_fleet/tests/histories.rs
@@ -1,7 +1,6 @@
-//! Seeded histories: executors crash, are cut off and come back, orders and their answers are lost
-//! or come late, owners change, machines are maintained and move, jobs are cancelled. The world
-//! checks after every step that no task runs twice and no executor is over its room; in the end all
-//! jobs are over.
+//! Seeded histories with random faults: executors crash, lose the connection and return, orders and answers
+//! are lost or delayed, owners change, machines are maintained and moved, jobs are cancelled. The model checks
+//! after each step that no task runs twice and no executor is overcommitted; in the end all jobs are over.
 
 mod world;
 
@@ -17,83 +16,92 @@
 use rand_chacha::ChaCha8Rng;
 use world::{Delivery, World, accounts::cores, job, step};
 
-/// Histories in an ordinary run of the tests; more by `HISTORIES=10000`.
+/// Number of histories by default; set with `HISTORIES=10000`.
 const HISTORIES: u64 = 60;
 const EVENTS: usize = 40;
-/// Part of the jobs with a task that crashes its executors.
-const CRASHING: f64 = 0.3;
-/// Lasting jobs of a history that has some.
-const LASTING_JOBS: usize = 4;
-/// In what is healed and quiet lasting work is back within this time.
-const BACK_WITHIN: Duration = Duration::from_secs(20);
-/// Accounts of capped histories.
+/// Ratio of the jobs with a task that crashes its executors.
+const CRASHING_JOB_RATIO: f64 = 0.3;
+/// Maximum number of long-running jobs in a history.
+const MAX_LONG_RUNNING_JOBS: usize = 4;
+/// Time within which long-running tasks are at work again once all faults have ended.
+const RECOVERY_TIME: Duration = Duration::from_secs(20);
+/// Accounts of histories with caps.
 const ACCOUNTS: [&str; 3] = ["shop", "bakery", "cafe"];
-/// Room for the largest gang, and for less than all that an account hands in.
+/// Enough for the largest gang, but less than all jobs that an account submits.
 const CAP_CORES: u64 = 14;
-/// Seeds that failed once, with what was wrong.
-const FAILED_BEFORE: [(u64, &str); 6] = [
-    (0, "an unlisted executor that had just answered a new owner counted as lapsed: run twice"),
-    (14, "an order carried out for an earlier owner took a machine out of use for ever"),
-    (2255, "the room of an executor that takes no work any more counted: a gang waited for ever"),
+/// Seeds of past failures, with the cause.
+const PAST_FAILURES: [(u64, &str); 6] = [
+    (
+        0,
+        "an unlisted executor that had just answered a new owner counted as lapsed: task ran twice",
+    ),
+    (14, "an order executed for a previous owner took a machine out of use for ever"),
+    (2255, "the room of an executor that accepts no work counted: a gang waited for ever"),
     (9738, "the same, for a later step"),
-    (7794, "a run that ended behind a cut counted as lost in the crash after it: given up"),
-    (204, "a pool gave away the machines without which a hopeless gang could never end"),
+    (
+        7794,
+        "a run that ended while disconnected counted as lost in the crash after it: job given up",
+    ),
+    (204, "a pool gave away the machines that an expired gang needed to complete"),
 ];
 
-/// The same for histories with tasks that crash their executors.
-const CRASHING_BEFORE: [(u64, &str); 1] =
-    [(54, "a crash that the task may not have been there for was the third that is enough")];
+/// Past failures of histories with tasks that crash their executors.
+const PAST_CRASHING_FAILURES: [(u64, &str); 1] =
+    [(54, "a crash during which the task may not have been running was the conclusive third one")];
 
-/// The same for histories with lasting work beside such tasks.
-const LASTING_BEFORE: [(u64, &str); 1] =
-    [(241, "a machine was taken by a list that was older than the executor on it")];
+/// Past failures of histories with long-running jobs beside such tasks.
+const PAST_LONG_RUNNING_FAILURES: [(u64, &str); 1] =
+    [(241, "a machine was ordered by a list that was older than the executor on it")];
 
-/// Seeds with a lasting task that is no cause and wasn't back.
-const HELD_BACK_BEFORE: [u64; 20] = [
+/// Seeds in which a long-running task that isn't the cause of crashes didn't return.
+const UNRELATED_TASK_MISSING: [u64; 20] = [
     74, 104, 190, 260, 301, 500, 525, 586, 605, 784, 861, 889, 976, 999, 1284, 1347, 1421, 1466,
     1483, 1499,
 ];
-/// Seeds with a cause that was started three times after its third crash, at once ...
-const STARTED_AGAIN_BEFORE: [u64; 3] = [1799, 1936, 104_047];
-/// The same without lasting work.
-const ENDING_STARTED_AGAIN_BEFORE: [u64; 6] = [5, 118, 198, 519, 724, 100_686];
-/// ... or minutes later.
-const STARTED_LATER_BEFORE: [u64; 3] = [21, 30, 81];
-/// Longer than any pause before a task is tried again.
-const LONG_AFTER: Duration = Duration::from_secs(700);
-/// Seeds with a job that was given up after a single crash, without lasting work ...
-const GIVEN_UP_BEFORE: [u64; 8] = [319, 864, 1800, 9270, 50_355, 106_001, 106_567, 107_556];
-/// ... and beside it.
-const GIVEN_UP_BESIDE_BEFORE: [u64; 3] = [1017, 1424, 613_872];
-/// Seeds with runs that ended in the moments between a cut and the crash of their executor, without lasting work ...
-const ENDED_BEHIND_CUT: [u64; 1] = [711_000];
-/// ... and beside it.
-const ENDED_BESIDE_CUT: [u64; 1] = [711_467];
-/// A seed with such a run under an owner that had no list of machines yet.
-const ENDED_UNLISTED: [u64; 1] = [1_306_565];
-/// Seeds with a machine that was taken by an old list, with lasting work on it.
-const TAKEN_BEFORE: [u64; 4] = [50_313, 102_585, 104_788, 106_746];
-/// Seeds with a lasting task that was stopped by an order repeated seconds after the decision.
-const STOPPED_AGAIN: [u64; 2] = [1_401_008, 1_401_782];
-/// Seeds with a lasting task whose first trial was hit by an accident: it is back after a minute only.
-const ACCIDENT_ON_TRIAL: [u64; 5] = [3351, 4050, 72231, 73043, 73922];
-/// A seed with a task that ran twice after its executor had started again under its id and the owner had changed.
+/// Seeds in which a cause was started three times right after its third crash, with long-running jobs ...
+const CAUSE_RESTARTED_LONG_RUNNING: [u64; 3] = [1799, 1936, 104_047];
+/// ... and without.
+const CAUSE_RESTARTED: [u64; 6] = [5, 118, 198, 519, 724, 100_686];
+/// Seeds in which a cause was started again minutes later.
+const CAUSE_RESTARTED_LATER: [u64; 3] = [21, 30, 81];
+/// Longer than any crash back-off.
+const AFTER_ALL_BACKOFFS: Duration = Duration::from_secs(700);
+/// Seeds in which a job was given up after a single crash, without long-running jobs ...
+const GIVEN_UP_AFTER_ONE_CRASH: [u64; 8] =
+    [319, 864, 1800, 9270, 50_355, 106_001, 106_567, 107_556];
+/// ... and with them.
+const GIVEN_UP_BESIDE_LONG_RUNNING: [u64; 3] = [1017, 1424, 613_872];
+/// Seeds with runs that ended between the disconnection and the crash of their executor, without long-running
+/// jobs ...
+const ENDED_DISCONNECTED: [u64; 1] = [711_000];
+/// ... and with them.
+const ENDED_DISCONNECTED_LONG_RUNNING: [u64; 1] = [711_467];
+/// Seed with such a run under an owner that had no list of machines yet.
+const ENDED_WITHOUT_LISTING: [u64; 1] = [1_306_565];
+/// Seeds in which a machine with long-running tasks was ordered because of an outdated list.
+const OCCUPIED_MACHINE_ORDERED: [u64; 4] = [50_313, 102_585, 104_788, 106_746];
+/// Seeds in which a long-running task was stopped by an order repeated seconds after the decision.
+const REPEATED_STOP_ORDER: [u64; 2] = [1_401_008, 1_401_782];
+/// Seeds with an unrelated crash during the first probation of a long-running task, which returned only after a
+/// minute.
+const UNRELATED_CRASH_ON_PROBATION: [u64; 5] = [3351, 4050, 72231, 73043, 73922];
+/// Seed in which a task ran twice after its executor restarted under the same id and the owner changed.
 const LONG_LEASE: [u64; 1] = [961_816];
-/// A seed with a cause whose crashes were taken back for answers of its executor's next life.
-const CLEARED_BY_RETURN: [u64; 1] = [933_380];
-/// A seed with a gang of which hardly a start was ever confirmed.
+/// Seed in which the crashes of a cause were cleared by answers of its executor's next incarnation.
+const CLEARED_BY_RESTART: [u64; 1] = [933_380];
+/// Seed with a gang of which hardly any start was confirmed.
 const GANG_UNCONFIRMED: [u64; 1] = [60294];
-/// A seed with a gang for which there is never room at once beside lasting work.
-const GANG_BESIDE_LASTING: [u64; 1] = [54739];
-/// A seed with a gang beside which another task had just begun at each of its crashes.
-const GANG_BESIDE_NEWCOMERS: [u64; 1] = [21_936];
-/// A seed with a job of which three of four starts went without a sure answer.
+/// Seed with a gang for which long-running tasks never leave enough room at once.
+const GANG_BESIDE_LONG_RUNNING: [u64; 1] = [54739];
+/// Seed with a gang at each of whose crashes another task had just started on the executor.
+const GANG_BESIDE_RECENT_STARTS: [u64; 1] = [21_936];
+/// Seed with a job of which three of four starts had no certain answer.
 const UNCONFIRMED_STARTS: [u64; 1] = [3496];
-/// A seed with four starts at executors that had crashed 10 to 220 ms before, beside lasting work.
+/// Seed with four starts on executors that had crashed 10 to 220 ms before, with long-running jobs.
 const UNCONFIRMED_BESIDE: [u64; 1] = [1_310_531];
-/// A seed with starts at executors that had fallen silent under what was watched there before.
-const SILENT_AFTER_WATCH: [u64; 1] = [931_148];
-/// A seed with a run that was reported as stopped in the moment in which its executor crashed.
+/// Seed with starts on executors that had stopped responding during an isolated start.
+const UNRESPONSIVE_AFTER_ISOLATION: [u64; 1] = [931_148];
+/// Seed with a run that was reported as stopped at the moment its executor crashed.
 const STOPPED_BEFORE_CRASH: [u64; 1] = [310];
 
 fn random_job(random: &mut ChaCha8Rng) -> JobSpec {
@@ -106,7 +114,7 @@
         if number > 0 {
             one.after = vec![number - 1];
         }
-        // A gang that can't be spread so far would wait for ever.
+        // A larger gang, or one with a limit per executor, might never fit.
         if one.is_gang {
             one.count = one.count.min(3);
             one.max_per_executor = 0;
@@ -116,21 +124,21 @@
     job(steps)
 }
 
-/// Work that runs until it is cancelled, of which one task may be away.
-fn lasting_job(random: &mut ChaCha8Rng) -> JobSpec {
+/// Returns a job that runs until it is cancelled and of which one task may be away.
+fn long_running_job(random: &mut ChaCha8Rng) -> JobSpec {
     let count = random.random_range(2..4);
     let lasting = StepSpec { is_long_running: true, may_miss: 1, ..step(count, 1, 0) };
     job(vec![StepSpec { max_per_executor: u32::from(random.random_bool(0.7)), ..lasting }])
 }
 
-/// No lasting job is over but by its caller's word. If it has to return, all of its tasks are at work, but
-/// for one that crashes its executors.
-fn check_lasting(world: &mut World, seed: u64, lasting: &[String], kind: Kind) {
-    world.run_for(number("BACK_WITHIN_S").map_or(BACK_WITHIN, Duration::from_secs));
-    assert_lasting(world, seed, lasting, kind);
+/// Asserts that long-running jobs are over only if their caller cancelled them. In histories of
+/// [`Kind::Returning`] all of their tasks must be at work, except for one that crashes its executors.
+fn check_long_running(world: &mut World, seed: u64, lasting: &[String], kind: Kind) {
+    world.run_for(env_number("BACK_WITHIN_S").map_or(RECOVERY_TIME, Duration::from_secs));
+    assert_long_running(world, seed, lasting, kind);
 }
 
-fn assert_lasting(world: &World, seed: u64, lasting: &[String], kind: Kind) {
+fn assert_long_running(world: &World, seed: u64, lasting: &[String], kind: Kind) {
     for id in lasting.iter().filter(|id| !world.cancelled.iter().any(|one| **one == ***id)) {
         assert_eq!(world.fleet.view(id), Some(JobView::Running), "seed {seed}: {id}");
         let tasks = world.submissions[id.as_str()].spec.steps[0].count as usize;
@@ -191,14 +199,14 @@
     }
 }
 
-fn heal(world: &mut World) {
+fn clear_faults(world: &mut World) {
     world.executors.values_mut().for_each(|executor| executor.set_cut(false));
     world.machine_list_unavailable = false;
     world.write_delay = Duration::from_millis(10);
     world.delivery = Box::new(|_| Delivery::Answered);
 }
 
-/// Gives a job to an account, and now and then lets a cap fall or rise.
+/// Assigns a job to a random account, and sometimes changes the cap of an account.
 fn random_account(world: &mut World, random: &mut ChaCha8Rng, job: &str) {
     world.accounts.assign_job(job, ACCOUNTS[random.random_range(0..ACCOUNTS.len())]);
     if random.random_bool(0.2) {
@@ -207,55 +215,57 @@
     }
 }
 
-fn play(seed: u64) {
-    play_with(seed, 0.0, Kind::Plain);
+fn run_history(seed: u64) {
+    run_history_with(seed, 0.0, Kind::Plain);
 }
 
-/// What a history has beside jobs and faults.
+/// Variant of a history.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Kind {
     Plain,
-    /// Jobs may belong to accounts with caps.
+    /// Jobs belong to accounts with caps.
     Capped,
-    /// Some jobs last.
-    Lasting,
-    /// The same, and all that isn't the cause of crashes is back in the end.
+    /// Some jobs are long-running.
+    LongRunning,
+    /// Some jobs are long-running, and all tasks that aren't the cause of crashes must be at work in the end.
     Returning,
 }
 
-/// Plays these seeds with tasks that crash their executors.
-fn play_all(seeds: &[u64], kind: Kind) {
-    seeds.iter().for_each(|seed| play_with(*seed, CRASHING, kind));
+/// Runs the histories of these seeds with tasks that crash their executors.
+fn run_histories(seeds: &[u64], kind: Kind) {
+    seeds.iter().for_each(|seed| run_history_with(*seed, CRASHING_JOB_RATIO, kind));
 }
 
-/// Plays a history in which this part of the jobs have a task that crashes its executors.
-fn play_with(seed: u64, crashing: f64, kind: Kind) {
-    let afterwards = Duration::from_secs(number("AFTERWARDS_S").unwrap_or(0));
-    play_until(seed, crashing, kind, afterwards);
+/// Runs a history in which this ratio of the jobs has a task that crashes its executors.
+fn run_history_with(seed: u64, crashing: f64, kind: Kind) {
+    let afterwards = Duration::from_secs(env_number("AFTERWARDS_S").unwrap_or(0));
+    run_history_until(seed, crashing, kind, afterwards);
 }
 
-/// The same, and goes on for a while once all is over.
-fn play_until(seed: u64, crashing: f64, kind: Kind, afterwards: Duration) {
+/// Runs a history and continues for `afterwards` once all jobs are over.
+fn run_history_until(seed: u64, crashing: f64, kind: Kind, afterwards: Duration) {
     let is_capped = kind == Kind::Capped;
-    let has_lasting = matches!(kind, Kind::Lasting | Kind::Returning);
-    let mut lasting_random = ChaCha8Rng::seed_from_u64(seed ^ 4);
-    let mut accounts = ChaCha8Rng::seed_from_u64(seed ^ 3);
-    let mut marks = ChaCha8Rng::seed_from_u64(seed ^ 2);
+    let has_long_running = matches!(kind, Kind::LongRunning | Kind::Returning);
+    let mut long_running_random = ChaCha8Rng::seed_from_u64(seed ^ 4);
+    let mut account_random = ChaCha8Rng::seed_from_u64(seed ^ 3);
+    let mut crash_random = ChaCha8Rng::seed_from_u64(seed ^ 2);
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut world = World::new(&["view", "report", "off"], 3);
-    let mut orders = ChaCha8Rng::seed_from_u64(seed ^ 1);
+    let mut order_random = ChaCha8Rng::seed_from_u64(seed ^ 1);
     let is_lossy = random.random_bool(0.6);
-    world.delivery = Box::new(move |_| match orders.next_u32() % 20 {
+    world.delivery = Box::new(move |_| match order_random.next_u32() % 20 {
         0 if is_lossy => Delivery::AnswerLost,
-        1 if is_lossy => Delivery::Late(Duration::from_millis(u64::from(orders.next_u32() % 9000))),
+        1 if is_lossy => {
+            Delivery::Late(Duration::from_millis(u64::from(order_random.next_u32() % 9000)))
+        }
         _ => Delivery::Answered,
     });
     if crashing > 0.0 {
-        world.crashes.crash_after = Duration::from_millis(marks.random_range(10..1_500));
-        world.restarts_keep_ids = marks.random_bool(0.5);
+        world.crashes.crash_after = Duration::from_millis(crash_random.random_range(10..1_500));
+        world.restarts_keep_ids = crash_random.random_bool(0.5);
     }
     if is_capped {
-        // An order that is carried out late may have left under a former cap.
+        // An order that is executed late may have been sent under a previous cap.
         world.accounts.former_counts_for = Duration::from_secs(12);
         ACCOUNTS.iter().for_each(|account| world.set_cap(account, cores(CAP_CORES)));
     }
@@ -264,26 +274,26 @@
     for _ in 0..EVENTS {
         let next = format!("job-{}", jobs.len());
         if is_capped {
-            random_account(&mut world, &mut accounts, &next);
+            random_account(&mut world, &mut account_random, &next);
         }
-        if marks.random_bool(crashing)
+        if crash_random.random_bool(crashing)
             && !world.crashes.crashing_jobs.iter().any(|id| **id == *next)
         {
             world.crashes.crashing_jobs.push(next.into());
         }
-        let is_due = has_lasting && lasting_random.random_bool(0.2);
-        if is_due && lasting.len() < LASTING_JOBS {
+        let is_due = has_long_running && long_running_random.random_bool(0.2);
+        if is_due && lasting.len() < MAX_LONG_RUNNING_JOBS {
             let id = format!("lasting-{}", lasting.len());
-            if lasting_random.random_bool(crashing) {
+            if long_running_random.random_bool(crashing) {
                 world.crashes.crashing_jobs.push(id.as_str().into());
             }
-            world.submit(&id, "q-view", lasting_job(&mut lasting_random));
+            world.submit(&id, "q-view", long_running_job(&mut long_running_random));
             lasting.push(id);
         }
         random_event(&mut world, &mut random, &mut jobs);
         world.run_for(Duration::from_millis(random.random_range(10..900)));
     }
-    heal(&mut world);
+    clear_faults(&mut world);
     if is_capped {
         ACCOUNTS.iter().for_each(|account| world.set_cap(account, cores(CAP_CORES)));
     }
@@ -294,14 +304,14 @@
         }
         assert!(is_over, "seed {seed}: {id} never ends, {:?}", world.fleet.view(id));
     }
-    check_lasting(&mut world, seed, &lasting, kind);
-    let is_true = |id: &&String| {
+    check_long_running(&mut world, seed, &lasting, kind);
+    let is_cancelled_only_by_caller = |id: &&String| {
         world.fleet.view(id) != Some(JobView::Over(JobOutcome::Cancelled))
             || world.cancelled.iter().any(|cancelled| **cancelled == ***id)
     };
-    assert!(jobs.iter().all(|id| is_true(&id)), "seed {seed}");
+    assert!(jobs.iter().all(|id| is_cancelled_only_by_caller(&id)), "seed {seed}");
     world.run_for(afterwards);
-    assert_lasting(&world, seed, &lasting, kind);
+    assert_long_running(&world, seed, &lasting, kind);
     if std::env::var("STATISTICS").is_ok() {
         print_statistics(&world, seed, &jobs, &lasting);
     }
@@ -316,135 +326,149 @@
 }
 
 #[test]
-fn failed_before() {
-    FAILED_BEFORE.iter().for_each(|(seed, _)| play(*seed));
-    CRASHING_BEFORE.iter().for_each(|(seed, _)| play_with(*seed, CRASHING, Kind::Plain));
-    LASTING_BEFORE.iter().for_each(|(seed, _)| play_with(*seed, CRASHING, Kind::Lasting));
+fn past_failures() {
+    PAST_FAILURES.iter().for_each(|(seed, _)| run_history(*seed));
+    PAST_CRASHING_FAILURES
+        .iter()
+        .for_each(|(seed, _)| run_history_with(*seed, CRASHING_JOB_RATIO, Kind::Plain));
+    PAST_LONG_RUNNING_FAILURES
+        .iter()
+        .for_each(|(seed, _)| run_history_with(*seed, CRASHING_JOB_RATIO, Kind::LongRunning));
 }
 
-/// Lasting work that isn't the cause was held back.
+/// Guards against a long-running task that isn't the cause of crashes staying in back-off.
 #[test]
-fn innocent_held_back() {
-    play_all(&HELD_BACK_BEFORE, Kind::Returning);
+fn unrelated_task_missing() {
+    run_histories(&UNRELATED_TASK_MISSING, Kind::Returning);
 }
 
-/// A cause was started again and again, with ever longer pauses.
+/// Guards against a cause of crashes being started more often than allowed, also after long back-offs.
 #[test]
-fn cause_started_again() {
-    play_all(&STARTED_AGAIN_BEFORE, Kind::Lasting);
-    play_all(&ENDING_STARTED_AGAIN_BEFORE, Kind::Plain);
-    let play_on = |seed: &u64| play_until(*seed, CRASHING, Kind::Returning, LONG_AFTER);
-    STARTED_LATER_BEFORE.iter().for_each(play_on);
+fn cause_restarted() {
+    run_histories(&CAUSE_RESTARTED_LONG_RUNNING, Kind::LongRunning);
+    run_histories(&CAUSE_RESTARTED, Kind::Plain);
+    let run_on = |seed: &u64| {
+        run_history_until(*seed, CRASHING_JOB_RATIO, Kind::Returning, AFTER_ALL_BACKOFFS)
+    };
+    CAUSE_RESTARTED_LATER.iter().for_each(run_on);
 }
 
-/// A job was failed for one crash.
+/// Guards against a job failing after a single crash of its executor.
 #[test]
-fn failed_for_one() {
-    play_all(&GIVEN_UP_BEFORE, Kind::Plain);
-    play_all(&GIVEN_UP_BESIDE_BEFORE, Kind::Lasting);
+fn failed_after_one_crash() {
+    run_histories(&GIVEN_UP_AFTER_ONE_CRASH, Kind::Plain);
+    run_histories(&GIVEN_UP_BESIDE_LONG_RUNNING, Kind::LongRunning);
 }
 
-/// A job was failed for one crash, since a run that had ended behind a cut counted as one that had crashed.
+/// Guards against a job failing after one crash because a run that ended while its executor was disconnected
+/// counted as crashed.
 #[test]
-fn ended_behind_cut() {
-    play_all(&ENDED_BEHIND_CUT, Kind::Plain);
-    play_all(&ENDED_BESIDE_CUT, Kind::Lasting);
-    play_all(&ENDED_BESIDE_CUT, Kind::Returning);
+fn ended_while_disconnected() {
+    run_histories(&ENDED_DISCONNECTED, Kind::Plain);
+    run_histories(&ENDED_DISCONNECTED_LONG_RUNNING, Kind::LongRunning);
+    run_histories(&ENDED_DISCONNECTED_LONG_RUNNING, Kind::Returning);
 }
 
-/// The same, under an owner that had no list of machines yet.
+/// Guards against the same failure under an owner that had no list of machines yet.
 #[test]
-fn ended_unlisted() {
-    play_all(&ENDED_UNLISTED, Kind::Lasting);
-    play_all(&ENDED_UNLISTED, Kind::Returning);
+fn ended_without_listing() {
+    run_histories(&ENDED_WITHOUT_LISTING, Kind::LongRunning);
+    run_histories(&ENDED_WITHOUT_LISTING, Kind::Returning);
 }
 
-/// A machine with lasting work was taken for one on which nothing lived.
+/// Guards against ordering a machine with long-running tasks as if no executor ran on it.
 #[test]
-fn taken_unseen() {
-    play_all(&TAKEN_BEFORE, Kind::Lasting);
+fn occupied_machine_ordered() {
+    run_histories(&OCCUPIED_MACHINE_ORDERED, Kind::LongRunning);
 }
 
-/// An executor that had started again had a longer lease than the next owner counted on, so that a task ran twice.
+/// Guards against a task running twice because a restarted executor had a longer lease than the next owner
+/// expected.
 #[test]
 fn long_lease() {
-    play_all(&LONG_LEASE, Kind::Lasting);
-    play_all(&LONG_LEASE, Kind::Returning);
+    run_histories(&LONG_LEASE, Kind::LongRunning);
+    run_histories(&LONG_LEASE, Kind::Returning);
 }
 
-/// A cause was started three times after three crashes, since its executor had come back under its id.
+/// Guards against a cause being started three times after three crashes because its executor restarted under
+/// the same id.
 #[test]
-fn cleared_by_return() {
-    play_all(&CLEARED_BY_RETURN, Kind::Returning);
+fn cleared_by_restart() {
+    run_histories(&CLEARED_BY_RESTART, Kind::Returning);
 }
 
-/// A lasting task was stopped by an order from seconds before, while another one of its step was away.
+/// Guards against a delayed stop order ending a long-running task while another task of its step is away.
 #[test]
-fn stopped_again() {
-    play_all(&STOPPED_AGAIN, Kind::Lasting);
-    play_all(&STOPPED_AGAIN, Kind::Returning);
+fn repeated_stop_order() {
+    run_histories(&REPEATED_STOP_ORDER, Kind::LongRunning);
+    run_histories(&REPEATED_STOP_ORDER, Kind::Returning);
 }
 
-/// A lasting task was held back for a minute since its executor crashed by itself during its trial.
+/// Guards against a back-off of a minute for a long-running task whose executor crashed for an unrelated reason
+/// during probation.
 #[test]
-fn accident_on_trial() {
-    play_all(&ACCIDENT_ON_TRIAL, Kind::Returning);
+fn unrelated_crash_on_probation() {
+    run_histories(&UNRELATED_CRASH_ON_PROBATION, Kind::Returning);
 }
 
-/// A gang was given up after one crash, since its starts went without answers.
+/// Guards against a gang being given up after one crash because its starts had no answers.
 #[test]
 fn gang_unconfirmed() {
-    play_all(&GANG_UNCONFIRMED, Kind::Returning);
+    run_histories(&GANG_UNCONFIRMED, Kind::Returning);
 }
 
-/// A gang waited for ever for room on three executors at once.
+/// Guards against a gang waiting for ever for room on three executors at once.
 #[test]
-fn gang_beside_lasting() {
-    play_all(&GANG_BESIDE_LASTING, Kind::Returning);
+fn gang_beside_long_running() {
+    run_histories(&GANG_BESIDE_LONG_RUNNING, Kind::Returning);
 }
 
-/// A cause was started three times after three crashes, for each of which another task was the likelier one.
+/// Guards against a cause being started three times after three crashes that each had a likelier cause.
 #[test]
 fn gang_beside_newcomers() {
-    play_all(&GANG_BESIDE_NEWCOMERS, Kind::Lasting);
-    play_all(&GANG_BESIDE_NEWCOMERS, Kind::Returning);
+    run_histories(&GANG_BESIDE_RECENT_STARTS, Kind::LongRunning);
+    run_histories(&GANG_BESIDE_RECENT_STARTS, Kind::Returning);
 }
 
-/// A job was given up after one crash, since executors crashed before they had confirmed its starts.
+/// Guards against a job being given up after one crash because executors crashed before they confirmed its
+/// starts.
 #[test]
 fn unconfirmed_starts() {
-    play_all(&UNCONFIRMED_STARTS, Kind::Plain);
+    run_histories(&UNCONFIRMED_STARTS, Kind::Plain);
 }
 
-/// The same beside lasting work, under which its executor crashed in the end.
+/// Guards against the same failure beside long-running jobs.
 #[test]
 fn unconfirmed_beside() {
-    play_all(&UNCONFIRMED_BESIDE, Kind::Lasting);
-    play_all(&UNCONFIRMED_BESIDE, Kind::Returning);
+    run_histories(&UNCONFIRMED_BESIDE, Kind::LongRunning);
+    run_histories(&UNCONFIRMED_BESIDE, Kind::Returning);
 }
 
-/// A job was given up after one crash, since it was ordered to executors that had crashed under what was watched there before.
+/// Guards against a job being given up after one crash because it was ordered to executors that had crashed
+/// during an isolated start of another task.
 #[test]
-fn silent_after_watch() {
-    play_all(&SILENT_AFTER_WATCH, Kind::Plain);
+fn unresponsive_after_isolation() {
+    run_histories(&UNRESPONSIVE_AFTER_ISOLATION, Kind::Plain);
 }
 
-/// A cause was started three times after three crashes, one of which came as its run had just been stopped.
+/// Guards against a cause being started three times after three crashes, one of which came just as its run was
+/// stopped.
 #[test]
 fn stopped_before_crash() {
-    play_all(&STOPPED_BEFORE_CRASH, Kind::Plain);
+    run_histories(&STOPPED_BEFORE_CRASH, Kind::Plain);
 }
 
-/// An option of the histories, from the environment.
-fn number(name: &str) -> Option<u64> {
+/// Reads a numeric option of the histories from the environment.
+fn env_number(name: &str) -> Option<u64> {
     std::env::var(name).ok().and_then(|text| text.parse().ok())
 }
 
-/// What a history cost: executors that crashed, what else was given up, and how long lasting tasks were away.
+/// Prints the statistics of a history: crashed executors, unrelated jobs that failed, and the times for which
+/// long-running tasks were away.
 fn print_statistics(world: &World, seed: u64, jobs: &[String], lasting: &[String]) {
     let is_cause = |id: &&String| world.crashes.crashing_jobs.iter().any(|job| **job == ***id);
     let is_failed = |id: &&String| world.fleet.view(id) == Some(JobView::Over(JobOutcome::Failed));
-    let innocents = jobs.iter().filter(is_failed).filter(|id| !is_cause(id)).count();
+    let unrelated_failures = jobs.iter().filter(is_failed).filter(|id| !is_cause(id)).count();
     let gaps =
         world.long_running.gaps.iter().filter(|(task, _)| !world.crashes.is_crashing_task(task));
     let gaps_ms: Vec<u128> = gaps.map(|(_, gap)| gap.as_millis()).collect();
@@ -457,21 +481,21 @@
         pauses.map(|pause| pause.duration.map(|time| time.as_secs())).collect();
     let (crashed, lasting) = (world.crashes.executor_crashes, lasting.len());
     println!(
-        "seed {seed}: crashed {crashed}, given up {innocents}, lasting jobs {lasting}, away {gaps_ms:?} ms, \
+        "seed {seed}: crashed {crashed}, given up {unrelated_failures}, lasting jobs {lasting}, away {gaps_ms:?} ms, \
          held back {pauses_s:?} s"
     );
 }
 
 fn seeds() -> std::ops::Range<u64> {
-    let first = number("FIRST").unwrap_or(0);
-    first..first + number("HISTORIES").unwrap_or(HISTORIES)
+    let first = env_number("FIRST").unwrap_or(0);
+    first..first + env_number("HISTORIES").unwrap_or(HISTORIES)
 }
 
 #[test]
 fn many_histories() {
     for seed in seeds() {
         println!("seed {seed}");
-        play(seed);
+        run_history(seed);
     }
 }
 
@@ -479,33 +503,34 @@
 fn crashing_histories() {
     for seed in seeds() {
         println!("seed {seed}");
-        play_with(seed, CRASHING, Kind::Plain);
+        run_history_with(seed, CRASHING_JOB_RATIO, Kind::Plain);
     }
 }
 
-/// Caps that bind, over changes of owners and late orders.
+/// Account caps hold across changes of owner and late orders.
 #[test]
 fn capped_histories() {
     for seed in seeds() {
         println!("seed {seed}");
-        play_with(seed, 0.0, Kind::Capped);
+        run_history_with(seed, 0.0, Kind::Capped);
     }
 }
 
-/// Lasting work beside tasks that crash their executors, waves, cuts and changes of owner.
+/// Long-running jobs beside tasks that crash their executors, maintenance waves, disconnections and changes of
+/// owner.
 #[test]
 fn lasting_histories() {
     for seed in seeds() {
         println!("seed {seed}");
-        play_with(seed, CRASHING, Kind::Lasting);
+        run_history_with(seed, CRASHING_JOB_RATIO, Kind::LongRunning);
     }
 }
 
-/// Whoever is no cause isn't held back for good, whatever it went through.
+/// Long-running tasks that aren't the cause of crashes always return to work.
 #[test]
 fn lasting_returns() {
     for seed in seeds() {
         println!("seed {seed}");
-        play_with(seed, CRASHING, Kind::Returning);
+        run_history_with(seed, CRASHING_JOB_RATIO, Kind::Returning);
     }
 }
--- a/crates/jackdawpier_fleet/tests/world/accounts.rs
+++ b/crates/jackdawpier_fleet/tests/world/accounts.rs
@@ -1,4 +1,4 @@
-//! Client accounts of the model, and the bound on what each has running.
+//! Client accounts of the model, and the check that each stays within its cap.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -13,18 +13,18 @@
 
 use super::{World, executor::FakeExecutor};
 
-/// A start may bring an account this much above its cap, in percent, and one task more.
+/// Maximum overrun of an account's cap by a start, in percent; one more task is tolerated.
 const OVERRUN_PERCENT: u64 = 10;
 
 #[derive(Debug)]
 pub struct Accounts {
     caps: BTreeMap<Arc<str>, Cap>,
-    /// Caps that were in force before, with the time until which they may count.
+    /// Previous caps, each with the time until which it may be in force.
     former: Vec<(Duration, Arc<str>, Cap)>,
-    /// A cap that has fallen may count for this long: until then an older configuration may be in force.
+    /// Time for which a previous cap may count, since an older configuration may still be in force.
     pub former_counts_for: Duration,
     of_job: BTreeMap<Arc<str>, Arc<str>>,
-    /// Accounts of which a task has started in this step.
+    /// Accounts with a task that started in this step.
     started: BTreeSet<Arc<str>>,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// A cap on processor alone.
+/// Returns a cap on CPU alone.
 pub fn cores(most: u64) -> Cap {
     Cap { cpu_millicores: Some(most * 1000), ..Cap::default() }
 }
@@ -52,7 +52,7 @@
         self.caps.iter().map(account).collect()
     }
 
-    /// Jobs that are handed in from now on under this id are the account's.
+    /// Assigns jobs that are submitted from now on under this id to an account.
     pub fn assign_job(&mut self, job: &str, account: &str) {
         self.of_job.insert(job.into(), account.into());
     }
@@ -67,7 +67,7 @@
 }
 
 impl World {
-    /// A configuration with another cap is in force from now on.
+    /// Applies a configuration with a new cap.
     pub fn set_cap(&mut self, account: &str, cap: Cap) {
         let until = self.now + self.accounts.former_counts_for;
         if let Some(former) = self.accounts.caps.insert(account.into(), cap) {
@@ -76,7 +76,7 @@
         self.configure();
     }
 
-    /// What runs of an account, on all executors that live.
+    /// Returns the resources in use by an account on all live executors.
     pub fn used_by(&self, account: &str) -> Resources {
         let mut used = Resources::default();
         let running = self.executors.values().flat_map(FakeExecutor::running);
@@ -90,7 +90,7 @@
         self.submissions[&task.job].spec.steps[task.step as usize].need
     }
 
-    /// The largest task of an account.
+    /// Returns the largest amount of each resource that a task of an account requests.
     fn largest_of(&self, account: &str) -> Resources {
         let mut largest = Resources::default();
         for (id, submission) in &self.submissions {
@@ -101,7 +101,7 @@
         largest
     }
 
-    /// A start must not bring an account above its cap.
+    /// Asserts that no start brings an account above its cap.
     pub(super) fn check_caps(&mut self) {
         let now = self.now;
         self.accounts.former.retain(|(until, ..)| now < *until);
--- a/crates/jackdawpier_fleet/tests/world/executor.rs
+++ b/crates/jackdawpier_fleet/tests/world/executor.rs
@@ -1,4 +1,4 @@
-//! An executor that keeps the platform's rules and nothing else.
+//! A model of an executor that implements the platform's protocol.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -8,12 +8,11 @@
     spec::{JobSpec, Resources, TaskKey},
 };
 
-/// An executor that has been silent for this long is no longer listed.
-const LISTED_FOR: Duration = Duration::from_millis(4500);
-/// A room that has shrunk has to be known this long after: the time in which things settle, and a
-/// heartbeat.
+/// Time without a heartbeat after which an executor is no longer listed.
+const UNLISTED_AFTER: Duration = Duration::from_millis(4500);
+/// Time after which an owner must know of a reduced capacity: the settling time and a heartbeat.
 const ROOM_SETTLE_TIME: Duration = Duration::from_millis(4500);
-/// A long-running task is at work this long after its start.
+/// Startup time of a task, after which it is at work.
 const STARTUP: Duration = Duration::from_millis(700);
 
 #[derive(Debug)]
@@ -35,31 +34,31 @@
     finished_runs: BTreeMap<TaskKey, u32>,
     ended: Vec<EndedTask>,
     ended_at: BTreeMap<u64, Duration>,
-    /// Ends up to this position have been told to an owner.
+    /// Ends up to this sequence number have been reported to an owner.
     last_reported_end: u64,
     lapsed_at: Option<Duration>,
-    /// Good ends that were acknowledged, with their times.
+    /// Acknowledged ends of completed tasks, with their times.
     pub acknowledged_done: Vec<(TaskKey, Duration)>,
     /// Starts, with their times.
     pub starts: Vec<(TaskKey, Duration)>,
     next_end: u64,
-    /// Ends up to this position are forgotten, also those to come.
+    /// Ends up to this sequence number are acknowledged and dropped, including future ones.
     acknowledged_to: u64,
     lease_until: Duration,
     started_at: Duration,
     now: Duration,
     crashed_at: Option<Duration>,
-    /// Cut off from everybody, but alive.
+    /// Disconnected from all others, but alive.
     pub is_cut: bool,
     cut_at: Duration,
-    /// Tail of the response times of what serves here, in milliseconds.
+    /// Tail latency of the tasks that serve users, in milliseconds.
     pub tail_ms: u64,
     paces: BTreeMap<TaskKey, u32>,
-    /// Each run ends in failure.
+    /// Whether each run ends in failure.
     pub fails_all: bool,
-    /// It takes whatever it is told to start; then nobody may tell it too much.
+    /// Whether the executor accepts starts beyond its capacity; the model then asserts that none are ordered.
     pub accepts_overload: bool,
-    /// The room that it had before it shrank, and until when that may be relied on.
+    /// Capacity before a resize, and the time until which owners may still rely on it.
     former_room: Option<(Resources, Duration)>,
 }
 
@@ -94,7 +93,7 @@
     }
 
     fn clock(&self, now: Duration) -> Duration {
-        // Its steady clock may be two hundredths slow.
+        // The monotonic clock may be 2 % slow.
         now.saturating_sub(self.started_at) * 98 / 100 + Duration::from_secs(7)
     }
 
@@ -107,8 +106,8 @@
     }
 
     pub fn is_listed(&self, now: Duration) -> bool {
-        let silent_since = self.crashed_at.or(self.is_cut.then_some(self.cut_at));
-        silent_since.is_none_or(|at| now < at + LISTED_FOR)
+        let disconnected_at = self.crashed_at.or(self.is_cut.then_some(self.cut_at));
+        disconnected_at.is_none_or(|at| now < at + UNLISTED_AFTER)
     }
 
     pub fn crash(&mut self) {
@@ -129,7 +128,8 @@
         self.running.keys()
     }
 
-    /// What a crash takes along: what runs, and ends of this moment, of which nobody has heard.
+    /// Returns the tasks that a crash affects: running ones, and those that ended in this step and weren't
+    /// reported yet.
     pub fn lost_in_crash(&self) -> impl Iterator<Item = &TaskKey> {
         let is_unreported = |end: &&EndedTask| {
             self.ended_at[&end.sequence] == self.now && end.sequence > self.last_reported_end
@@ -138,18 +138,18 @@
         self.running().chain(unreported)
     }
 
-    /// Whether a task has been running for at least this long.
+    /// Returns whether a task has been running for at least `time`.
     pub fn has_run_for(&self, task: &TaskKey, time: Duration) -> bool {
         self.running.get(task).is_some_and(|run| self.now >= run.started_at + time)
     }
 
-    /// Tasks whose startup is over.
+    /// Returns the tasks that have started up.
     pub fn at_work(&self) -> impl Iterator<Item = &TaskKey> {
         let is_at_work = |run: &Run| self.now >= run.started_at + STARTUP;
         self.running.iter().filter(move |(_, run)| is_at_work(run)).map(|(task, _)| task)
     }
 
-    /// Tasks at work that haven't been told to stop.
+    /// Returns the tasks at work that haven't been ordered to stop.
     pub fn at_work_not_stopping(&self) -> impl Iterator<Item = &TaskKey> {
         self.at_work().filter(|task| self.running[*task].stops_at.is_none())
     }
@@ -166,10 +166,10 @@
 
     pub fn check_room(&self) {
         let is_over = !self.used().fits(&self.info.capacity);
-        assert!(!is_over || self.former_room.is_some(), "{} is over its room", self.info.id);
+        assert!(!is_over || self.former_room.is_some(), "{} exceeds its capacity", self.info.id);
     }
 
-    /// Its room changes while it runs, and its entry says so at the next heartbeat.
+    /// Changes the capacity while the executor runs; the registry shows it at the next heartbeat.
     pub fn resize(&mut self, capacity: Resources) {
         self.former_room = Some((self.info.capacity, self.now + ROOM_SETTLE_TIME));
         self.info.capacity = capacity;
@@ -247,7 +247,7 @@
         }
         let former = self.former_room.filter(|(_, until)| now < *until);
         let may_fit = former.is_some_and(|(room, _)| need.fits(&room.minus(&self.used())));
-        assert!(fits || may_fit, "{task} brings {} over its room", self.info.id);
+        assert!(fits || may_fit, "{task} exceeds the capacity of {}", self.info.id);
         let is_remote = step.data_rack.is_some() && step.data_rack != self.info.rack;
         let takes = if is_remote { step.estimate * 3 } else { step.estimate };
         let has_label =
@@ -292,7 +292,7 @@
         self.fence = fence;
         for end in self.ended.iter().filter(|end| end.sequence <= order.acknowledged) {
             let ended_at = self.ended_at[&end.sequence];
-            // A lease that lapsed in between takes the end's meaning away.
+            // The end doesn't count if the lease lapsed after it.
             let has_lapsed = self.lapsed_at.is_some_and(|at| at > ended_at);
             if end.kind == EndKind::Done && !has_lapsed {
                 self.acknowledged_done.push((end.task.clone(), ended_at));
--- a/crates/jackdawpier_fleet/tests/world/machines.rs
+++ b/crates/jackdawpier_fleet/tests/world/machines.rs
@@ -1,4 +1,4 @@
-//! What becomes of machines: failures, moves and maintenance, and their return with new executors.
+//! Machines of the model: failures, moves and maintenance, and the return with new executors.
 
 use std::sync::Arc;
 
@@ -16,7 +16,7 @@
         }
     }
 
-    /// Machines on which something runs.
+    /// Returns the machines on which a task runs.
     pub fn busy_machines(&self) -> Vec<Arc<str>> {
         let is_busy = |machine: &&Arc<str>| {
             self.executors[&self.executor_of(machine)].running().next().is_some()
@@ -24,7 +24,7 @@
         self.machines.keys().filter(is_busy).cloned().collect()
     }
 
-    /// Runs until an order about a machine is under way, and returns it.
+    /// Runs until an order about a machine is in flight, and returns it.
     pub fn run_until_ordered(&mut self) -> MachineOrder {
         loop {
             if let Some((.., order)) = self.machine_orders_in_flight.first() {
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Holders don't take turns about a machine, and an earlier one's order never comes after a
-    /// later one's.
+    /// Asserts that two owners don't order a machine within [`ORDER_LEASE`], and that no order arrives after one of
+    /// a newer owner.
     fn check_holder(&mut self, machine: &Arc<str>, fence: u64) {
         let now = self.now;
         let Some((at, last)) = self.last_machine_orders.insert(machine.clone(), (now, fence))
@@ -112,7 +112,7 @@
             self.check_may_miss_on(&executor);
         }
         let machine = self.machines.get_mut(&order.machine).expect("it was read above");
-        let takes = match &order.work {
+        let duration = match &order.work {
             MachineWork::Move(pool) => {
                 machine.pool = pool.clone();
                 machine.away_for = Some(MachineState::Moving);
@@ -125,8 +125,8 @@
             }
         };
         if let Some(executor) = machine.executor.clone() {
-            machine.back_at = Some((now + takes, executor.clone()));
-            self.executors.get_mut(&executor).expect("it lives").crash();
+            machine.back_at = Some((now + duration, executor.clone()));
+            self.executors.get_mut(&executor).expect("the executor is alive").crash();
             return MachineOrderOutcome::Taken;
         }
         machine.away_for = None;
--- a/crates/jackdawpier_fleet/tests/world/mod.rs
+++ b/crates/jackdawpier_fleet/tests/world/mod.rs
@@ -1,6 +1,6 @@
-//! A small deterministic model of the platform for the owner's decisions: executors with fences,
-//! leases, ends and late orders; machines; a store that can be slow. It checks, after every step,
-//! what must hold whatever happens.
+//! A deterministic model of the platform for tests of the owner's decisions: executors with fences,
+//! leases, ends and late orders; machines; a store with write latency. It checks the invariants after
+//! each step.
 
 #![allow(dead_code, unreachable_pub, reason = "each test file uses a part of the world")]
 
@@ -27,20 +27,20 @@
 use long_running::LongRunning;
 pub use orders::Delivery;
 
-/// Time of day at the world's begin.
+/// Time of day at the start of the world.
 const EPOCH_MS: u64 = 1_000_000;
 pub const STEP: Duration = Duration::from_millis(10);
-/// Executors accept no longer lease.
+/// Longest lease that executors accept.
 pub const LONGEST_LEASE: Duration = Duration::from_secs(6);
 pub const MIGRATION: Duration = Duration::from_millis(1500);
 pub const MAINTENANCE: Duration = Duration::from_millis(2000);
-/// Holders of orders about a machine must not take turns within this time.
+/// Minimum time between orders of two owners about the same machine.
 pub const ORDER_LEASE: Duration = Duration::from_millis(3000);
-/// An owner's note names machines for this long after the last order.
+/// Time for which an owner's order note names a machine after its last order.
 const NOTED_FOR: Duration = Duration::from_millis(3500);
-/// An executor waits this long for an end before it answers a hold.
+/// Time for which an executor waits for an end before it answers a hold.
 const HOLD_WAIT: Duration = Duration::from_millis(200);
-/// Longer than the pause after which a lasting task that may crash its executor is tried again.
+/// Longer than the back-off of a long-running task that is suspected of crashing its executors.
 const STARTED_WITHIN: Duration = Duration::from_secs(20);
 
 pub fn settings() -> FleetSettings {
@@ -86,7 +86,7 @@
     pub pool: Arc<str>,
     pub executor: Option<Arc<str>>,
     pub back_at: Option<(Duration, Arc<str>)>,
-    /// What it is away for, if by an order.
+    /// State while the machine is away because of an order.
     pub away_for: Option<MachineState>,
     pub maintained_for: Vec<u64>,
 }
@@ -97,62 +97,62 @@
     pub fence: u64,
     pub executors: BTreeMap<Arc<str>, FakeExecutor>,
     pub machines: BTreeMap<Arc<str>, Machine>,
-    /// The durable records, as a store would hold them.
+    /// The durable records with their revisions.
     pub store: BTreeMap<Arc<str>, (JobRecord, u64)>,
     pub submissions: BTreeMap<Arc<str>, Submission>,
     pub cancelled: Vec<Arc<str>>,
     pub revision: u64,
-    /// Time that a write takes.
+    /// Duration of a write.
     pub write_delay: Duration,
     writes: Vec<(Duration, Batch)>,
-    /// Decides what becomes of an order, by its number.
+    /// Decides how an order is delivered, by its number.
     pub delivery: Box<dyn FnMut(u64) -> Delivery>,
     order_count: u64,
     late_orders: Vec<(Duration, orders::SentOrder)>,
     pub queues: Vec<Queue>,
     pub services: Vec<Service>,
-    /// Client accounts, and whose jobs are whose.
+    /// Client accounts and their jobs.
     pub accounts: Accounts,
     pub machine_orders: Vec<(Duration, MachineOrder)>,
-    /// Machines with the time and the owner of the last order that left, which an owner notes.
+    /// The order note: the time of the last order about each machine, and the owner that sent it.
     noted_orders: BTreeMap<Arc<str>, (Duration, u64)>,
-    /// The note can't be read by the next owner.
+    /// Whether the next owner can't read the order note.
     pub order_note_lost: bool,
     pub commands: Vec<(Duration, Command)>,
     incarnations: u64,
     started: BTreeMap<TaskKey, Vec<Duration>>,
     done: BTreeMap<TaskKey, Duration>,
-    /// Whether the machines' interface takes orders.
+    /// Whether the machine interface accepts orders.
     pub accepts_machine_orders: bool,
     pub waves: Vec<Wave>,
-    /// Whether the list of machines can't be had.
+    /// Whether the list of machines is unavailable.
     pub machine_list_unavailable: bool,
-    /// An executor whose entry in the registry can't be read.
+    /// Executor whose registry entry can't be read.
     pub unreadable_executor: Option<Arc<str>>,
-    /// An executor of which the owner gets no answers.
+    /// Executor whose answers are lost.
     pub drops_answers_of: Option<Arc<str>>,
-    /// Whether no pool takes a machine of another.
+    /// Whether pools refuse machines of other pools.
     pub refuses_moves: bool,
-    /// Time that an order about a machine takes to arrive.
+    /// Delay until an order about a machine arrives.
     pub machine_order_delay: Duration,
     machine_orders_in_flight: Vec<(Duration, u64, MachineOrder)>,
     /// When each machine was last ordered, and under which fence.
     last_machine_orders: BTreeMap<Arc<str>, (Duration, u64)>,
-    /// Executors that the advisor approves of, and how often it was asked.
+    /// Executors that the advisor approves, and the number of requests to it.
     pub approved: Vec<Arc<str>>,
     pub advice_requests: usize,
-    /// Labels of machines beside the common one.
+    /// Additional labels of machines.
     pub labels: BTreeMap<Arc<str>, Arc<str>>,
-    /// An executor that comes back after a crash has the id that it had.
+    /// Whether an executor keeps its id when it returns after a crash.
     pub restarts_keep_ids: bool,
-    /// Tasks that crash their executors, and what has crashed under whom.
+    /// Tasks that crash their executors, and the crashes so far.
     pub crashes: Crashes,
-    /// What has been at work of work that lasts.
+    /// Long-running tasks at work.
     pub long_running: LongRunning,
 }
 
 impl World {
-    /// `per_pool` executors of eight cores each in every pool.
+    /// Creates a world with `per_pool` executors of eight cores in each pool.
     pub fn new(pools: &[&str], per_pool: usize) -> Self {
         let mut world = Self {
             now: Duration::from_secs(100),
@@ -271,7 +271,7 @@
         self.machines[machine].executor.clone().expect("the machine is up")
     }
 
-    /// The machine goes dark; with `back_after` it comes back with another executor.
+    /// Crashes a machine; with `back_after` it returns with another executor.
     pub fn crash(&mut self, machine: &str, back_after: Option<Duration>) {
         let now = self.now;
         let id = self.executor_of(machine);
@@ -288,7 +288,7 @@
         self.fleet.add_job(self.now, self.now, self.wall_ms(), id.into(), submission);
     }
 
-    /// Stores a job of which the owner doesn't hear.
+    /// Stores a job without notifying the owner.
     pub fn store_job(&mut self, id: &str, queue: &str, spec: JobSpec) {
         let settings = self.queues.iter().find(|one| &*one.name == queue).cloned();
         let account = self.accounts.of_job(id);
@@ -306,7 +306,7 @@
         EPOCH_MS + self.now.as_millis() as u64
     }
 
-    /// Another entry takes over; nothing of the former one's memory is left.
+    /// Starts a new owner, which recovers from the store alone.
     pub fn take_over(&mut self) {
         self.fence += 1;
         self.revision += 1;
@@ -316,7 +316,7 @@
         let wall_ms = self.wall_ms();
         for (id, submission) in &self.submissions {
             let written = self.store.get(id).cloned();
-            // What was handed in is removed when the job is over.
+            // The submission is removed once the job is over.
             if let Some((record, _)) = &written
                 && record.outcome.is_some()
             {
@@ -335,7 +335,7 @@
             self.fleet.cancel(self.now, id);
         }
         if !self.order_note_lost {
-            // Ages are those of the last note, not of now.
+            // Ages are relative to the last write of the note, not to now.
             let last = self.noted_orders.values().map(|(at, _)| *at).max().unwrap_or_default();
             let noted_orders = self
                 .noted_orders
@@ -367,7 +367,7 @@
         None
     }
 
-    /// Runs until something of a job runs, which has to come within [`STARTED_WITHIN`].
+    /// Runs until a task of a job runs, which must happen within [`STARTED_WITHIN`].
     pub fn run_until_started(&mut self, id: &str) {
         let until = self.now + STARTED_WITHIN;
         while self.runs_of(id) == 0 {
@@ -486,7 +486,7 @@
         }
     }
 
-    /// No task may start after an end that was acknowledged as good, then or later.
+    /// Asserts that no task starts after its completion was acknowledged.
     fn check_done(&mut self) {
         for executor in self.executors.values_mut() {
             for (task, at) in executor.starts.drain(..) {
@@ -506,7 +506,7 @@
         }
     }
 
-    /// What must hold whatever happens.
+    /// Checks the invariants.
     fn check(&mut self) {
         self.check_done();
         self.crashes.check(&self.started);
@@ -522,20 +522,20 @@
         }
     }
 
-    /// Tasks of a job that are at work.
+    /// Returns the number of tasks of a job that are at work.
     pub fn at_work_of(&self, id: &str) -> usize {
         let of_job = |task: &&TaskKey| &*task.job == id;
         self.executors.values().flat_map(FakeExecutor::at_work).filter(of_job).count()
     }
 
-    /// Gives a machine and its executor a label.
+    /// Adds a label to a machine and its executor.
     pub fn label(&mut self, machine: &str, label: &str) {
         let id = self.executor_of(machine);
         self.executors.get_mut(&id).expect("it lives").info.labels.push(label.into());
         self.labels.insert(machine.into(), label.into());
     }
 
-    /// The machine on which a task of a job runs.
+    /// Returns the machine on which a task of a job runs.
     pub fn machine_of_task(&self, id: &str) -> Arc<str> {
         let runs_it = |machine: &Machine| {
             let executor = machine.executor.as_ref().and_then(|one| self.executors.get(one));
@@ -545,7 +545,7 @@
         found.expect("a task of it runs").0.clone()
     }
 
-    /// Tasks of a job that run, at work or starting up.
+    /// Returns the number of running tasks of a job, at work or starting up.
     pub fn runs_of(&self, id: &str) -> usize {
         let of_job = |task: &&TaskKey| &*task.job == id;
         self.executors.values().flat_map(FakeExecutor::running).filter(of_job).count()
--- a/crates/jackdawpier_fleet/tests/world/orders.rs
+++ b/crates/jackdawpier_fleet/tests/world/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to executors on their way: answered, carried out without an answer, or late.
+//! Delivery of orders to executors: answered, executed without an answer, or late.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,13 +6,13 @@
 
 use super::{World, executor::FakeExecutor};
 
-/// What happens to orders to executors.
+/// How an order to an executor is delivered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivery {
     Answered,
-    /// Carried out, but the answer is lost.
+    /// Executed, but the answer is lost.
     AnswerLost,
-    /// Not answered, and carried out this much later.
+    /// Not answered, and executed after this delay.
     Late(Duration),
 }
 
@@ -136,10 +136,10 @@
     }
 }
 
-/// An order on its way.
+/// An order in flight.
 pub(super) struct SentOrder {
     fence: u64,
-    /// The life that it reaches: an executor that starts again holds nothing of before.
+    /// Incarnation of the target; the order is dropped if the executor restarts.
     incarnation: Option<u64>,
     lease: Option<Duration>,
     command: Command,
