--- a/crates/jackdawpier_fleet/tests/advice.rs
+++ b/crates/jackdawpier_fleet/tests/advice.rs
@@ -30,11 +30,11 @@
         assert_eq!(executor, approved);
         assert_eq!(ticket.as_deref(), Some(&*format!("ticket-{approved}")));
     }
-    assert_eq!(world.advice_requests, 1, "one answer serves all tasks of the step");
+    assert_eq!(world.advice_requests, 1, "one answer applies to all tasks of the step");
 }
 
 #[test]
-fn nobody_approved() {
+fn no_executor_approved() {
     let mut world = advised_world();
     world.submit("j", "q-view", job(vec![step(1, 2, 300)]));
     world.run_for(Duration::from_secs(9));
--- a/crates/jackdawpier_fleet/tests/attempts.rs
+++ b/crates/jackdawpier_fleet/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! Failed runs count against a job once each, whoever hears of them and how often.
+//! Each failed run counts once against its job, however often and to however many owners it is reported.
 
 mod world;
 
@@ -27,10 +27,10 @@
     assert_eq!(starts(&world), 3);
 }
 
-/// The first owner made a failure durable and placed the next run, but its acknowledgement got lost:
-/// the second one hears of the same failure again.
+/// Guards against counting a failure twice: the first owner persisted it, but the acknowledgement was lost, so
+/// that the executor reports it again to the next owner.
 #[test]
-fn failure_heard_twice() {
+fn failure_reported_twice() {
     let mut world = failing_world();
     while !world.executors.values().any(world::executor::FakeExecutor::has_ends) {
         world.run_for(STEP);
--- a/crates/jackdawpier_fleet/tests/caps.rs
+++ b/crates/jackdawpier_fleet/tests/caps.rs
@@ -1,4 +1,4 @@
-//! What an account has running stays within its cap, whatever may be running counted.
+//! The usage of an account, including everything that may be running, stays within its cap.
 
 mod world;
 
@@ -7,7 +7,7 @@
 use jackdawpier_fleet::{fleet::JobView, spec::StepSpec};
 use world::{Delivery, World, accounts::cores, job, step};
 
-/// A pool of 32 cores and an account that may use half of it.
+/// Returns a world with a pool of 32 cores and an account that may use half of it.
 fn capped_world() -> World {
     let mut world = World::new(&["view"], 4);
     world.set_cap("shop", cores(16));
@@ -34,7 +34,7 @@
     }
 }
 
-/// A task that is larger than its account's cap runs, alone; it never could otherwise.
+/// A task that exceeds its account's cap by itself runs alone; it could never run otherwise.
 #[test]
 fn larger_than_cap() {
     let mut world = World::new(&["view"], 2);
@@ -47,7 +47,7 @@
     assert!(world.run_until_over("j", Duration::from_secs(3)).is_some());
 }
 
-/// A gang counts as a whole, so it doesn't start while not all of it may run.
+/// A gang counts as a whole: it doesn't start until all of its tasks fit within the cap.
 #[test]
 fn whole_gang() {
     let mut world = capped_world();
@@ -60,20 +60,20 @@
     assert!(world.run_until_over("gang", Duration::from_secs(3)).is_some());
 }
 
-/// A cap that falls far under what runs starts nothing and stops nothing.
+/// A cap that is lowered below the current usage stops no tasks and prevents new starts.
 #[test]
-fn fallen_cap() {
+fn lowered_cap() {
     let mut world = capped_world();
     submit(&mut world, "j", "shop", vec![step(24, 2, 2_000)]);
     world.run_for(Duration::from_millis(300));
     world.set_cap("shop", cores(4));
     world.run_for(Duration::from_millis(500));
-    assert_eq!(world.runs_of("j"), 8, "what runs goes on");
+    assert_eq!(world.runs_of("j"), 8, "running tasks continue");
     world.run_for(Duration::from_secs(2));
     assert_eq!(world.runs_of("j"), 2);
 }
 
-/// What a former owner placed counts before the new one has heard of it.
+/// Placements of the previous owner count before their executors report to the new one.
 #[test]
 fn new_owner() {
     let mut world = capped_world();
@@ -86,8 +86,8 @@
     }
 }
 
-/// A job is cancelled, its end is durable, and its owner is lost before any order to stop has arrived.
-/// The next owner knows nothing of its tasks but what the record says.
+/// Guards against exceeding a cap when the owner is lost after the end of a cancelled job became durable and
+/// before any stop order arrived: the next owner knows of its tasks only from the record.
 #[test]
 fn cancelled_before_takeover() {
     let mut world = capped_world();
@@ -108,7 +108,7 @@
     assert!(world.run_until_over("second", Duration::from_secs(5)).is_some());
 }
 
-/// An order without an answer may be carried out at any time, so its task counts until it can't be.
+/// The task of an unanswered order counts until the order can't be executed any more.
 #[test]
 fn unanswered_orders() {
     let mut world = capped_world();
@@ -122,12 +122,12 @@
     assert!(world.run_until_over("j", Duration::from_secs(20)).is_some());
 }
 
-/// No machines are fetched for what a cap keeps from running anyway.
+/// No machines are ordered for tasks that a cap keeps from running.
 #[test]
-fn needless_machines() {
+fn capped_demand() {
     let mut world = World::new(&["view", "report"], 4);
     world.set_cap("shop", cores(8));
-    // Machines may be ordered from here on.
+    // From here on machines may be ordered.
     world.run_for(Duration::from_secs(4));
     submit(&mut world, "j", "shop", vec![step(200, 2, 500)]);
     world.run_for(Duration::from_secs(2));
--- a/crates/jackdawpier_fleet/tests/crash_evidence.rs
+++ b/crates/jackdawpier_fleet/tests/crash_evidence.rs
@@ -1,4 +1,4 @@
-//! What crashes say of a task, by what is known of each: the decision by itself, without a world.
+//! Unit tests of the crash evidence rules, without the platform model.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
     Crash { run, is_confirmed: true, ..Crash::default() }
 }
 
-fn sudden(run: u32) -> Crash {
+fn crash_at_start(run: u32) -> Crash {
     Crash { is_at_start: true, ..crash(run) }
 }
 
-fn shared(run: u32) -> Crash {
+fn crash_with_likelier_cause(run: u32) -> Crash {
     Crash { has_likelier_cause: true, ..crash(run) }
 }
 
@@ -23,108 +23,133 @@
 }
 
 #[test]
-fn sudden_twice() {
-    assert!(is_isolated(&[sudden(1)]));
-    assert_eq!(suspicion(&[sudden(1), sudden(2)]), Suspicion::Conclusive);
+fn two_crashes_at_start() {
+    assert!(is_isolated(&[crash_at_start(1)]));
+    assert_eq!(suspicion(&[crash_at_start(1), crash_at_start(2)]), Suspicion::Conclusive);
 }
 
-/// What had been there for long beside newcomers is never given up for that alone.
+/// A long-established task beside recently started ones is never given up for that alone.
 #[test]
-fn always_shared() {
-    let crashes: Vec<Crash> = (1..20).map(shared).collect();
+fn always_likelier_cause() {
+    let crashes: Vec<Crash> = (1..20).map(crash_with_likelier_cause).collect();
     assert!(is_isolated(&crashes));
     assert!(!is_given_up(&crashes, 30, &[], false));
 }
 
 #[test]
-fn crash_while_watched() {
-    let watched = |run| Crash { is_isolated: true, ..crash(run) };
-    assert!(is_isolated(&[shared(1), shared(2)]));
-    let third = [shared(1), shared(2), watched(3)];
+fn isolated_crash() {
+    let isolated_run = |run| Crash { is_isolated: true, ..crash(run) };
+    assert!(is_isolated(&[crash_with_likelier_cause(1), crash_with_likelier_cause(2)]));
+    let third = [crash_with_likelier_cause(1), crash_with_likelier_cause(2), isolated_run(3)];
     assert!(is_given_up(&third, 3, &[], false));
-    assert!(!is_given_up(&third, 3, &[], true), "one that lasts may have another start");
-    let fourth = [shared(1), shared(2), watched(3), shared(4)];
+    assert!(!is_given_up(&third, 3, &[], true), "a long-running task may have another start");
+    let fourth = [
+        crash_with_likelier_cause(1),
+        crash_with_likelier_cause(2),
+        isolated_run(3),
+        crash_with_likelier_cause(4),
+    ];
     assert!(is_given_up(&fourth, 4, &[], true));
-    assert_eq!(suspicion(&[crash(1), watched(2), watched(3)]), Suspicion::Conclusive);
+    assert_eq!(suspicion(&[crash(1), isolated_run(2), isolated_run(3)]), Suspicion::Conclusive);
 }
 
-/// One that another task turned out to have caused is as good as none, but for the third.
+/// Crashes that were attributed to another task don't count before the third.
 #[test]
-fn explained_crash() {
-    let explained = |run| Crash { has_other_cause: true, ..sudden(run) };
-    assert_eq!(suspicion(&[explained(1), explained(2)]), Suspicion::None);
-    assert!(is_isolated(&[explained(1), sudden(2)]));
-    assert_ne!(suspicion(&[explained(1), explained(2), shared(3)]), Suspicion::None);
+fn known_other_cause() {
+    let crash_with_other_cause = |run| Crash { has_other_cause: true, ..crash_at_start(run) };
+    assert_eq!(suspicion(&[crash_with_other_cause(1), crash_with_other_cause(2)]), Suspicion::None);
+    assert!(is_isolated(&[crash_with_other_cause(1), crash_at_start(2)]));
+    assert_ne!(
+        suspicion(&[
+            crash_with_other_cause(1),
+            crash_with_other_cause(2),
+            crash_with_likelier_cause(3)
+        ]),
+        Suspicion::None
+    );
 }
 
-/// A start that was refused for certain isn't one of the two that are left after the third crash.
+/// A start that was certainly refused doesn't count as one of the two allowed after the third crash.
 #[test]
 fn refused_starts() {
-    let crashes = [shared(1), shared(2), Crash { is_confirmed: false, ..crash(3) }];
+    let crashes = [
+        crash_with_likelier_cause(1),
+        crash_with_likelier_cause(2),
+        Crash { is_confirmed: false, ..crash(3) },
+    ];
     assert!(!is_given_up(&crashes, 4, &[], false));
     assert!(is_given_up(&crashes, 5, &[], false));
     assert!(!is_given_up(&crashes, 5, &[4], false));
 }
 
-/// Nothing that was never confirmed is held against a task before the fifth.
+/// Unconfirmed crashes aren't conclusive before the fifth.
 #[test]
 fn unconfirmed() {
-    let unconfirmed = |run| Crash { is_confirmed: false, ..sudden(run) };
+    let unconfirmed = |run| Crash { is_confirmed: false, ..crash_at_start(run) };
     let four: Vec<Crash> = (1..5).map(unconfirmed).collect();
     assert_ne!(suspicion(&four), Suspicion::Conclusive);
     let five: Vec<Crash> = (1..6).map(unconfirmed).collect();
     assert_eq!(suspicion(&five), Suspicion::Conclusive);
 }
 
-/// A task that lasts is tried again: soon while it is no more than suspect, later once it has crashed on trial, and
-/// never once a cause would have been started twice after its third crash.
+/// A long-running task is retried soon while it is only suspected, later after a crash on probation, and never
+/// after two starts following the third crash.
 #[test]
-fn two_trials() {
-    let watched = |run| Crash { is_isolated: true, ..crash(run) };
-    let crashes = [shared(1), shared(2), watched(3), watched(4), watched(5)];
+fn probation_backoffs() {
+    let isolated_run = |run| Crash { is_isolated: true, ..crash(run) };
+    let crashes = [
+        crash_with_likelier_cause(1),
+        crash_with_likelier_cause(2),
+        isolated_run(3),
+        isolated_run(4),
+        isolated_run(5),
+    ];
     let after = |count: usize| retry(&crashes[..count], count as u32, &[]);
     assert_eq!([after(1), after(2)], [Retry::AtOnce; 2]);
     let Retry::After(first) = after(3) else { panic!("{:?}", after(3)) };
     let Retry::After(second) = after(4) else { panic!("{:?}", after(4)) };
-    assert!(first < Duration::from_secs(6), "no longer than it may wait");
+    assert!(first < Duration::from_secs(6), "the first back-off is short");
     assert!(second >= first * 10, "{first:?}, {second:?}");
     assert_eq!(after(5), Retry::Never);
-    assert_eq!(retry(&crashes[..3], 5, &[]), Retry::Never, "whatever became of them");
-    assert_eq!(retry(&crashes[..3], 5, &[4]), Retry::After(first), "one never began");
+    assert_eq!(retry(&crashes[..3], 5, &[]), Retry::Never, "starts count whatever their outcome");
+    assert_eq!(retry(&crashes[..3], 5, &[4]), Retry::After(first), "a refused start doesn't count");
 }
 
-/// A crash on trial after a quite different time than the ones before may be an accident.
+/// A crash on probation after a different run time than the ones before may be unrelated to the task.
 #[test]
-fn lives_differ() {
-    let lived = |least_ms, most_ms| Some(RunTimeBounds { least_ms, most_ms });
-    let trial = Crash { is_isolated: true, run_time: lived(100, 300), ..crash(4) };
+fn run_times_differ() {
+    let bounds = |least_ms, most_ms| Some(RunTimeBounds { least_ms, most_ms });
+    let probation = Crash { is_isolated: true, run_time: bounds(100, 300), ..crash(4) };
     let after = |third: Option<RunTimeBounds>| {
         let third = Crash { run_time: third, ..crash(3) };
-        let Retry::After(pause) = retry(&[shared(1), shared(2), third, trial.clone()], 4, &[])
-        else {
-            panic!("it has a second trial");
+        let Retry::After(backoff) = retry(
+            &[crash_with_likelier_cause(1), crash_with_likelier_cause(2), third, probation.clone()],
+            4,
+            &[],
+        ) else {
+            panic!("it gets a second start on probation");
         };
-        pause
+        backoff
     };
-    assert_eq!(after(lived(200, 400)), after(None));
-    assert!(after(lived(900, 1_100)) < after(None) / 10);
+    assert_eq!(after(bounds(200, 400)), after(None));
+    assert!(after(bounds(900, 1_100)) < after(None) / 10);
 }
 
-/// Two crashes right after its starts leave little doubt of one that lasts.
+/// Two crashes right after its starts are strong evidence against a long-running task.
 #[test]
-fn sudden_pause() {
-    let Retry::After(pause) = retry(&[sudden(1), sudden(2)], 2, &[]) else {
-        panic!("tried at once")
+fn backoff_after_start_crashes() {
+    let Retry::After(backoff) = retry(&[crash_at_start(1), crash_at_start(2)], 2, &[]) else {
+        panic!("retried at once")
     };
-    assert!(pause >= Duration::from_secs(30), "{pause:?}");
+    assert!(backoff >= Duration::from_secs(30), "{backoff:?}");
 }
 
-/// Only what lasts is watched after one crash that came later than at once, and when it is tried again.
+/// Only long-running tasks are isolated after a single later crash, and on probation.
 #[test]
-fn watched_trial() {
+fn isolation_of_long_running() {
     assert!(isolation_time(&[crash(1)], true).is_some());
     assert!(isolation_time(&[crash(1)], false).is_none());
-    let plain = [sudden(1), sudden(2)];
-    assert!(isolation_time(&plain, true).is_some());
-    assert!(isolation_time(&plain, false).is_none());
+    let conclusive = [crash_at_start(1), crash_at_start(2)];
+    assert!(isolation_time(&conclusive, true).is_some());
+    assert!(isolation_time(&conclusive, false).is_none());
 }
--- a/crates/jackdawpier_fleet/tests/machine_holders.rs
+++ b/crates/jackdawpier_fleet/tests/machine_holders.rs
@@ -1,4 +1,4 @@
-//! Owners that follow each other don't order the same machine by turns, and lose no time.
+//! A new owner doesn't order machines that its predecessor ordered recently, and orders others without delay.
 
 mod world;
 
@@ -7,8 +7,8 @@
 use jackdawpier_fleet::fleet::Command;
 use world::{STEP, World, job, step};
 
-/// A pool that asks for more machines than it has, beside one with idle machines; runs until the
-/// owner has ordered the first.
+/// Returns a world with a pool that needs more machines and one with idle machines, after the first machine
+/// order.
 fn moving_world() -> World {
     let mut world = World::new(&["view", "spare"], 6);
     world.machine_order_delay = Duration::from_millis(500);
@@ -16,7 +16,7 @@
         world.submit(&format!("j-{number}"), "q-view", job(vec![step(4, 4, 3_000)]));
     }
     for _ in 0..1000 {
-        if orders(&world, world.now).next().is_some() {
+        if orders_since(&world, world.now).next().is_some() {
             return world;
         }
         world.run_for(STEP);
@@ -24,39 +24,40 @@
     panic!("no machine is ordered");
 }
 
-/// Machines that were ordered since `since`.
-fn orders(world: &World, since: Duration) -> impl Iterator<Item = &str> {
+/// Returns the machines that were ordered since `since`.
+fn orders_since(world: &World, since: Duration) -> impl Iterator<Item = &str> {
     world.commands.iter().filter(move |(at, _)| *at >= since).filter_map(|(_, command)| {
         let Command::Machine(order) = command else { return None };
         Some(&*order.machine)
     })
 }
 
-/// The next owner leaves alone what its predecessor has just ordered (the world checks that), and
+/// The next owner doesn't order the machines that its predecessor has just ordered (checked by the world), and
 /// orders other machines at once.
 #[test]
 fn next_owner() {
     let mut world = moving_world();
-    let before: Vec<String> = orders(&world, Duration::ZERO).map(str::to_owned).collect();
+    let previous_orders: Vec<String> =
+        orders_since(&world, Duration::ZERO).map(str::to_owned).collect();
     world.take_over();
-    let taken_at = world.now + STEP;
+    let takeover_at = world.now + STEP;
     for number in 0..20 {
         world.submit(&format!("k-{number}"), "q-view", job(vec![step(4, 4, 3_000)]));
     }
     world.run_for(Duration::from_millis(1500));
-    let after: Vec<String> = orders(&world, taken_at).map(str::to_owned).collect();
-    assert!(!after.is_empty(), "it waits though {before:?} alone were ordered");
-    assert!(after.iter().all(|machine| !before.contains(machine)));
+    let new_orders: Vec<String> = orders_since(&world, takeover_at).map(str::to_owned).collect();
+    assert!(!new_orders.is_empty(), "it waits though only {previous_orders:?} were ordered");
+    assert!(new_orders.iter().all(|machine| !previous_orders.contains(machine)));
     world.run_for(Duration::from_secs(6));
 }
 
-/// Without the note nothing is known of the predecessor's orders, so all machines wait.
+/// Without the note the predecessor's orders are unknown, so no machine is ordered for a while.
 #[test]
-fn lost_note() {
+fn order_note_lost() {
     let mut world = moving_world();
     world.order_note_lost = true;
     world.take_over();
-    let taken_at = world.now + STEP;
+    let takeover_at = world.now + STEP;
     world.run_for(Duration::from_millis(3400));
-    assert_eq!(orders(&world, taken_at).count(), 0);
+    assert_eq!(orders_since(&world, takeover_at).count(), 0);
 }
--- a/crates/jackdawpier_fleet/tests/repeated_jobs.rs
+++ b/crates/jackdawpier_fleet/tests/repeated_jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs that run at given times.
+//! Jobs with a schedule.
 
 mod world;
 
@@ -28,7 +28,7 @@
     assert_eq!(outcome, Some(JobOutcome::Completed));
 }
 
-/// A late occurrence of a job that was accepted long ago is as urgent as a new job.
+/// An occurrence is ranked by its own due time, not by the earlier acceptance of its job.
 #[test]
 fn late_occurrence() {
     let mut world = World::new(&["view"], 1);
--- a/crates/jackdawpier_fleet/tests/steps.rs
+++ b/crates/jackdawpier_fleet/tests/steps.rs
@@ -1,4 +1,4 @@
-//! Steps of a job run in order, each task once.
+//! The steps of a job run in order, and each task once.
 
 mod world;
 
