--- a/crates/jackdawpier_fleet/src/executor.rs
+++ b/crates/jackdawpier_fleet/src/executor.rs
@@ -289,18 +289,18 @@
     /// Resets the state after a restart of the executor, except for the tasks that were ordered.
     pub(crate) fn begin_incarnation(&mut self, now: Now, incarnation: IncarnationId) {
         let previous_last_contact = self.last_contact();
-        let former = std::mem::replace(self, Self::new(now, now));
+        let previous = std::mem::replace(self, Self::new(now, now));
         self.previous_last_contact = previous_last_contact;
-        self.info = former.info;
-        self.is_listed = former.is_listed;
-        self.allocated = former.allocated;
-        self.tasks = former.tasks;
-        self.isolated_start = former.isolated_start;
-        self.tasks_per_slot = former.tasks_per_slot;
-        self.serving_tasks = former.serving_tasks;
-        self.filler_tasks = former.filler_tasks;
-        self.previous_incarnations = former.previous_incarnations;
-        self.previous_incarnations.extend(former.incarnation);
+        self.info = previous.info;
+        self.is_listed = previous.is_listed;
+        self.allocated = previous.allocated;
+        self.tasks = previous.tasks;
+        self.isolated_start = previous.isolated_start;
+        self.tasks_per_slot = previous.tasks_per_slot;
+        self.serving_tasks = previous.serving_tasks;
+        self.filler_tasks = previous.filler_tasks;
+        self.previous_incarnations = previous.previous_incarnations;
+        self.previous_incarnations.extend(previous.incarnation);
         self.incarnation = Some(incarnation);
         self.failed_at = Some(now);
     }
--- a/crates/jackdawpier_fleet/src/job.rs
+++ b/crates/jackdawpier_fleet/src/job.rs
@@ -180,8 +180,8 @@
     }
 
     /// Returns whether the crashes of its executors keep the task from being started again.
-    pub(crate) fn is_given_up_after_crashes(&self, lasts: bool) -> bool {
-        is_given_up(&self.crashes, self.run, &self.refused_runs, lasts)
+    pub(crate) fn is_given_up_after_crashes(&self, is_long_running: bool) -> bool {
+        is_given_up(&self.crashes, self.run, &self.refused_runs, is_long_running)
     }
 
     pub(crate) fn crashes(&self) -> &[Crash] {
@@ -189,8 +189,8 @@
     }
 
     /// Returns for how long the start of the task is isolated; `None` if it isn't.
-    pub(crate) fn isolation_time(&self, lasts: bool) -> Option<Duration> {
-        isolation_time(&self.crashes, lasts)
+    pub(crate) fn isolation_time(&self, is_long_running: bool) -> Option<Duration> {
+        isolation_time(&self.crashes, is_long_running)
     }
 
     fn record(&self) -> TaskRecord {
--- a/crates/jackdawpier_fleet/src/machines.rs
+++ b/crates/jackdawpier_fleet/src/machines.rs
@@ -186,7 +186,7 @@
     /// Set while the list doesn't name all executors: any machine that seems idle may run one of them.
     pub(crate) may_be_occupied: bool,
     /// Machines whose executor ended after the last list, and which may run another one by now.
-    stale_machines: BTreeSet<MachineId>,
+    outdated_listings: BTreeSet<MachineId>,
 }
 
 impl Machines {
@@ -203,18 +203,18 @@
             refused_moves: BTreeSet::new(),
             machine_of: SortedHashMap::default(),
             may_be_occupied: false,
-            stale_machines: BTreeSet::new(),
+            outdated_listings: BTreeSet::new(),
         }
     }
 
     /// Records the end of an executor that the list doesn't show yet.
     pub(crate) fn note_executor_ended(&mut self, executor: &ExecutorId) {
-        self.stale_machines.extend(self.machine_of.get(executor).cloned());
+        self.outdated_listings.extend(self.machine_of.get(executor).cloned());
     }
 
     /// Returns whether the last list is current about the executor on a machine.
     pub(crate) fn knows_executor(&self, machine: &MachineId) -> bool {
-        !self.stale_machines.contains(machine)
+        !self.outdated_listings.contains(machine)
     }
 
     /// Restricts the lock to the machines that a previous owner ordered recently, with the minimum age of each
@@ -249,12 +249,12 @@
         asked_at: Now,
         machines: Vec<MachineInfo>,
     ) -> SortedHashMap<ExecutorId, MachineId> {
-        let former = std::mem::take(&mut self.machine_of);
+        let previous_machine_of = std::mem::take(&mut self.machine_of);
         self.machine_of = machines
             .iter()
             .filter_map(|info| Some((info.executor.clone()?, info.id.clone())))
             .collect();
-        self.stale_machines.clear();
+        self.outdated_listings.clear();
         self.listed = machines.into_iter().map(|info| (info.id.clone(), info)).collect();
         for (machine, operation) in &mut self.operations {
             // The machine may have failed and returned before it was ordered.
@@ -267,7 +267,7 @@
         self.last_listing_gap = asked_at.saturating_sub(self.last_listing_at);
         self.last_listing_at = asked_at;
         self.has_listing = true;
-        former
+        previous_machine_of
     }
 
     /// Returns the executors that the last list names.
--- a/crates/jackdawpier_fleet/tests/caps.rs
+++ b/crates/jackdawpier_fleet/tests/caps.rs
@@ -99,7 +99,7 @@
     assert!(matches!(world.fleet.view("first"), Some(JobView::Over(_))), "its end is durable");
     let executors: Vec<_> = world.executors.keys().cloned().collect();
     for id in &executors[..2] {
-        world.executors.get_mut(id).expect("it lives").set_cut(true);
+        world.executors.get_mut(id).expect("the executor exists").set_cut(true);
     }
     world.delivery = Box::new(|_| Delivery::Answered);
     world.take_over();
--- a/crates/jackdawpier_fleet/tests/histories.rs
+++ b/crates/jackdawpier_fleet/tests/histories.rs
@@ -127,19 +127,24 @@
 /// Returns a job that runs until it is cancelled and of which one task may be away.
 fn long_running_job(random: &mut ChaCha8Rng) -> JobSpec {
     let count = random.random_range(2..4);
-    let lasting = StepSpec { is_long_running: true, may_miss: 1, ..step(count, 1, 0) };
-    job(vec![StepSpec { max_per_executor: u32::from(random.random_bool(0.7)), ..lasting }])
+    let long_running_step = StepSpec { is_long_running: true, may_miss: 1, ..step(count, 1, 0) };
+    job(vec![StepSpec {
+        max_per_executor: u32::from(random.random_bool(0.7)),
+        ..long_running_step
+    }])
 }
 
 /// Asserts that long-running jobs are over only if their caller cancelled them. In histories of
 /// [`Kind::Returning`] all of their tasks must be at work, except for one that crashes its executors.
-fn check_long_running(world: &mut World, seed: u64, lasting: &[String], kind: Kind) {
+fn check_long_running(world: &mut World, seed: u64, long_running_jobs: &[String], kind: Kind) {
     world.run_for(env_number("BACK_WITHIN_S").map_or(RECOVERY_TIME, Duration::from_secs));
-    assert_long_running(world, seed, lasting, kind);
+    assert_long_running(world, seed, long_running_jobs, kind);
 }
 
-fn assert_long_running(world: &World, seed: u64, lasting: &[String], kind: Kind) {
-    for id in lasting.iter().filter(|id| !world.cancelled.iter().any(|one| **one == ***id)) {
+fn assert_long_running(world: &World, seed: u64, long_running_jobs: &[String], kind: Kind) {
+    for id in
+        long_running_jobs.iter().filter(|id| !world.cancelled.iter().any(|one| **one == ***id))
+    {
         assert_eq!(world.fleet.view(id), Some(JobView::Running), "seed {seed}: {id}");
         let tasks = world.submissions[id.as_str()].spec.steps[0].count as usize;
         let is_cause = world.crashes.crashing_jobs.iter().any(|job| **job == **id);
@@ -176,7 +181,7 @@
         }
         6 => {
             if let Some(id) = executor {
-                let executor = world.executors.get_mut(&id).expect("it lives");
+                let executor = world.executors.get_mut(&id).expect("the executor exists");
                 let is_cut = !executor.is_cut;
                 executor.set_cut(is_cut);
             }
@@ -266,11 +271,11 @@
     }
     if is_capped {
         // An order that is executed late may have been sent under a previous cap.
-        world.accounts.former_counts_for = Duration::from_secs(12);
+        world.accounts.previous_counts_for = Duration::from_secs(12);
         ACCOUNTS.iter().for_each(|account| world.set_cap(account, cores(CAP_CORES)));
     }
     let mut jobs = Vec::new();
-    let mut lasting = Vec::new();
+    let mut long_running_jobs = Vec::new();
     for _ in 0..EVENTS {
         let next = format!("job-{}", jobs.len());
         if is_capped {
@@ -282,13 +287,13 @@
             world.crashes.crashing_jobs.push(next.into());
         }
         let is_due = has_long_running && long_running_random.random_bool(0.2);
-        if is_due && lasting.len() < MAX_LONG_RUNNING_JOBS {
-            let id = format!("lasting-{}", lasting.len());
+        if is_due && long_running_jobs.len() < MAX_LONG_RUNNING_JOBS {
+            let id = format!("lasting-{}", long_running_jobs.len());
             if long_running_random.random_bool(crashing) {
                 world.crashes.crashing_jobs.push(id.as_str().into());
             }
             world.submit(&id, "q-view", long_running_job(&mut long_running_random));
-            lasting.push(id);
+            long_running_jobs.push(id);
         }
         random_event(&mut world, &mut random, &mut jobs);
         world.run_for(Duration::from_millis(random.random_range(10..900)));
@@ -304,16 +309,16 @@
         }
         assert!(is_over, "seed {seed}: {id} never ends, {:?}", world.fleet.view(id));
     }
-    check_long_running(&mut world, seed, &lasting, kind);
+    check_long_running(&mut world, seed, &long_running_jobs, kind);
     let is_cancelled_only_by_caller = |id: &&String| {
         world.fleet.view(id) != Some(JobView::Over(JobOutcome::Cancelled))
             || world.cancelled.iter().any(|cancelled| **cancelled == ***id)
     };
     assert!(jobs.iter().all(|id| is_cancelled_only_by_caller(&id)), "seed {seed}");
     world.run_for(afterwards);
-    assert_long_running(&world, seed, &lasting, kind);
+    assert_long_running(&world, seed, &long_running_jobs, kind);
     if std::env::var("STATISTICS").is_ok() {
-        print_statistics(&world, seed, &jobs, &lasting);
+        print_statistics(&world, seed, &jobs, &long_running_jobs);
     }
     for id in &jobs {
         let is_failed = world.fleet.view(id) == Some(JobView::Over(JobOutcome::Failed));
@@ -465,7 +470,7 @@
 
 /// Prints the statistics of a history: crashed executors, unrelated jobs that failed, and the times for which
 /// long-running tasks were away.
-fn print_statistics(world: &World, seed: u64, jobs: &[String], lasting: &[String]) {
+fn print_statistics(world: &World, seed: u64, jobs: &[String], long_running_jobs: &[String]) {
     let is_cause = |id: &&String| world.crashes.crashing_jobs.iter().any(|job| **job == ***id);
     let is_failed = |id: &&String| world.fleet.view(id) == Some(JobView::Over(JobOutcome::Failed));
     let unrelated_failures = jobs.iter().filter(is_failed).filter(|id| !is_cause(id)).count();
@@ -479,9 +484,9 @@
         .filter(|pause| !world.crashes.is_crashing_task(&pause.task));
     let pauses_s: Vec<Option<u64>> =
         pauses.map(|pause| pause.duration.map(|time| time.as_secs())).collect();
-    let (crashed, lasting) = (world.crashes.executor_crashes, lasting.len());
+    let (crashed, long_running_jobs) = (world.crashes.executor_crashes, long_running_jobs.len());
     println!(
-        "seed {seed}: crashed {crashed}, given up {unrelated_failures}, lasting jobs {lasting}, away {gaps_ms:?} ms, \
+        "seed {seed}: crashed {crashed}, given up {unrelated_failures}, lasting jobs {long_running_jobs}, away {gaps_ms:?} ms, \
          held back {pauses_s:?} s"
     );
 }
--- a/crates/jackdawpier_fleet/tests/world/accounts.rs
+++ b/crates/jackdawpier_fleet/tests/world/accounts.rs
@@ -20,9 +20,9 @@
 pub struct Accounts {
     caps: BTreeMap<Arc<str>, Cap>,
     /// Previous caps, each with the time until which it may be in force.
-    former: Vec<(Duration, Arc<str>, Cap)>,
+    previous_caps: Vec<(Duration, Arc<str>, Cap)>,
     /// Time for which a previous cap may count, since an older configuration may still be in force.
-    pub former_counts_for: Duration,
+    pub previous_counts_for: Duration,
     of_job: BTreeMap<Arc<str>, Arc<str>>,
     /// Accounts with a task that started in this step.
     started: BTreeSet<Arc<str>>,
@@ -32,8 +32,8 @@
     fn default() -> Self {
         Self {
             caps: BTreeMap::new(),
-            former: Vec::new(),
-            former_counts_for: Duration::from_secs(3),
+            previous_caps: Vec::new(),
+            previous_counts_for: Duration::from_secs(3),
             of_job: BTreeMap::new(),
             started: BTreeSet::new(),
         }
@@ -69,9 +69,9 @@
 impl World {
     /// Applies a configuration with a new cap.
     pub fn set_cap(&mut self, account: &str, cap: Cap) {
-        let until = self.now + self.accounts.former_counts_for;
-        if let Some(former) = self.accounts.caps.insert(account.into(), cap) {
-            self.accounts.former.push((until, account.into(), former));
+        let until = self.now + self.accounts.previous_counts_for;
+        if let Some(previous) = self.accounts.caps.insert(account.into(), cap) {
+            self.accounts.previous_caps.push((until, account.into(), previous));
         }
         self.configure();
     }
@@ -104,11 +104,12 @@
     /// Asserts that no start brings an account above its cap.
     pub(super) fn check_caps(&mut self) {
         let now = self.now;
-        self.accounts.former.retain(|(until, ..)| now < *until);
+        self.accounts.previous_caps.retain(|(until, ..)| now < *until);
         for account in std::mem::take(&mut self.accounts.started) {
             let Some(cap) = self.accounts.caps.get(&account) else { continue };
-            let former = self.accounts.former.iter().filter(|(_, name, _)| *name == account);
-            let mut caps = former.map(|(_, _, cap)| *cap).chain([*cap]);
+            let previous_caps =
+                self.accounts.previous_caps.iter().filter(|(_, name, _)| *name == account);
+            let mut caps = previous_caps.map(|(_, _, cap)| *cap).chain([*cap]);
             let (used, largest) = (self.used_by(&account), self.largest_of(&account));
             let over = used.minus(&largest);
             let is_within = |cap: Cap| {
--- a/crates/jackdawpier_fleet/tests/world/executor.rs
+++ b/crates/jackdawpier_fleet/tests/world/executor.rs
@@ -59,7 +59,7 @@
     /// Whether the executor accepts starts beyond its capacity; the model then asserts that none are ordered.
     pub accepts_overload: bool,
     /// Capacity before a resize, and the time until which owners may still rely on it.
-    former_room: Option<(Resources, Duration)>,
+    previous_capacity: Option<(Resources, Duration)>,
 }
 
 impl FakeExecutor {
@@ -88,7 +88,7 @@
             paces: BTreeMap::new(),
             fails_all: false,
             accepts_overload: false,
-            former_room: None,
+            previous_capacity: None,
         }
     }
 
@@ -166,12 +166,16 @@
 
     pub fn check_room(&self) {
         let is_over = !self.used().fits(&self.info.capacity);
-        assert!(!is_over || self.former_room.is_some(), "{} exceeds its capacity", self.info.id);
+        assert!(
+            !is_over || self.previous_capacity.is_some(),
+            "{} exceeds its capacity",
+            self.info.id
+        );
     }
 
     /// Changes the capacity while the executor runs; the registry shows it at the next heartbeat.
     pub fn resize(&mut self, capacity: Resources) {
-        self.former_room = Some((self.info.capacity, self.now + ROOM_SETTLE_TIME));
+        self.previous_capacity = Some((self.info.capacity, self.now + ROOM_SETTLE_TIME));
         self.info.capacity = capacity;
     }
 
@@ -245,8 +249,8 @@
         if !fits && !self.accepts_overload {
             return StartOutcome::NoRoom;
         }
-        let former = self.former_room.filter(|(_, until)| now < *until);
-        let may_fit = former.is_some_and(|(room, _)| need.fits(&room.minus(&self.used())));
+        let previous = self.previous_capacity.filter(|(_, until)| now < *until);
+        let may_fit = previous.is_some_and(|(room, _)| need.fits(&room.minus(&self.used())));
         assert!(fits || may_fit, "{task} exceeds the capacity of {}", self.info.id);
         let is_remote = step.data_rack.is_some() && step.data_rack != self.info.rack;
         let takes = if is_remote { step.estimate * 3 } else { step.estimate };
--- a/crates/jackdawpier_fleet/tests/world/machines.rs
+++ b/crates/jackdawpier_fleet/tests/world/machines.rs
@@ -43,14 +43,14 @@
                 (*at <= self.now).then(|| (id.clone(), executor.clone()))
             })
             .collect();
-        for (id, former) in due {
-            let rack = self.executors[&former].info.rack.clone().unwrap_or_default();
+        for (id, previous) in due {
+            let rack = self.executors[&previous].info.rack.clone().unwrap_or_default();
             let pool = self.machines[&id].pool.clone();
             let keeps_id = self.restarts_keep_ids && self.machines[&id].away_for.is_none();
-            self.executors.remove(&former);
+            self.executors.remove(&previous);
             let executor = (!self.is_standby(&pool)).then(|| {
                 if keeps_id {
-                    return self.begin_incarnation(former, &pool, &rack, &id);
+                    return self.begin_incarnation(previous, &pool, &rack, &id);
                 }
                 self.new_incarnation(&pool, &rack, &id)
             });
--- a/crates/jackdawpier_fleet/tests/world/mod.rs
+++ b/crates/jackdawpier_fleet/tests/world/mod.rs
@@ -275,7 +275,7 @@
     pub fn crash(&mut self, machine: &str, back_after: Option<Duration>) {
         let now = self.now;
         let id = self.executor_of(machine);
-        let executor = self.executors.get_mut(&id).expect("it lives");
+        let executor = self.executors.get_mut(&id).expect("the executor exists");
         self.crashes.note(now, executor.lost_in_crash());
         executor.crash();
         let back = back_after.map(|after| (now + after, id));
@@ -465,7 +465,7 @@
         let task_crashes = self.fleet.take_task_crashes();
         let pauses = self.fleet.take_crash_backoffs();
         if std::env::var("TRACE").is_ok() {
-            task_crashes.iter().for_each(|blame| println!("{:?} {blame:?}", self.now));
+            task_crashes.iter().for_each(|crash| println!("{:?} {crash:?}", self.now));
             self.fleet
                 .take_executor_losses()
                 .iter()
@@ -531,7 +531,7 @@
     /// Adds a label to a machine and its executor.
     pub fn label(&mut self, machine: &str, label: &str) {
         let id = self.executor_of(machine);
-        self.executors.get_mut(&id).expect("it lives").info.labels.push(label.into());
+        self.executors.get_mut(&id).expect("the executor exists").info.labels.push(label.into());
         self.labels.insert(machine.into(), label.into());
     }
 
