--- a/crates/jackdawpier_bench/src/days.rs
+++ b/crates/jackdawpier_bench/src/days.rs
@@ -417,8 +417,8 @@
                 wave.remove_instance(ix);
             }
         }
-        let is_finished =
-            wave.state() == WaveState::Finished || wave.pending() == 0 && wave.out().is_empty();
+        let is_finished = wave.state() == WaveState::Finished
+            || wave.pending_count() == 0 && wave.out().is_empty();
         if is_finished {
             if self.is_measuring && self.lost_zone.is_none() {
                 self.measured.waves += 1;
--- a/crates/jackdawpier_capacity/src/wave.rs
+++ b/crates/jackdawpier_capacity/src/wave.rs
@@ -145,12 +145,12 @@
     }
 
     /// Returns the number of ended steps.
-    pub fn done(&self) -> usize {
+    pub fn done_count(&self) -> usize {
         self.done
     }
 
     /// Returns the number of steps not started yet.
-    pub fn pending(&self) -> usize {
+    pub fn pending_count(&self) -> usize {
         self.pending.len()
     }
 
--- a/crates/jackdawpier_proofs/tests/budgets.rs
+++ b/crates/jackdawpier_proofs/tests/budgets.rs
@@ -129,7 +129,7 @@
             break;
         }
     }
-    Ok(wave.done())
+    Ok(wave.done_count())
 }
 
 #[test]
--- a/crates/jackdawpier_route/src/dispatcher.rs
+++ b/crates/jackdawpier_route/src/dispatcher.rs
@@ -204,7 +204,7 @@
         if executors == 0 {
             return 0;
         }
-        let slots_each = (self.executors.slots() / executors).max(1);
+        let slots_each = (self.executors.total_slots() / executors).max(1);
         (self.pending.len() as u32).saturating_mul(1000) / slots_each
     }
 
@@ -225,7 +225,7 @@
             let reason = RefusalReason::UnknownClass;
             return Err(Refusal { reason, retry_after: NO_EXECUTOR_RETRY_AFTER });
         };
-        if self.executors.slots() == 0 {
+        if self.executors.total_slots() == 0 {
             let reason = RefusalReason::NoExecutor;
             return Err(Refusal { reason, retry_after: NO_EXECUTOR_RETRY_AFTER });
         }
@@ -252,7 +252,7 @@
         let turns = state.queue.backlog(customer) + 1;
         let active = state.queue.active_customers().max(1);
         let ahead = (turns * active).min(state.queue.len() + 1);
-        state.service_time.mean() * ahead as u32 / self.executors.slots().max(1)
+        state.service_time.mean() * ahead as u32 / self.executors.total_slots().max(1)
     }
 
     /// Admits a request or refuses it at once.
@@ -334,9 +334,9 @@
         outcome: AttemptOutcome,
     ) {
         let health = match outcome {
-            AttemptOutcome::Answered | AttemptOutcome::Declined { .. } => Health::Good,
+            AttemptOutcome::Answered | AttemptOutcome::Declined { .. } => Health::Healthy,
             AttemptOutcome::NotConnected => Health::Unreachable,
-            AttemptOutcome::Failed | AttemptOutcome::Lost => Health::Bad,
+            AttemptOutcome::Failed | AttemptOutcome::Lost => Health::Failing,
         };
         self.executors.observe(now, executor, health);
         if outcome == (AttemptOutcome::Declined { is_leaving: true }) {
@@ -445,7 +445,7 @@
     /// Returns the class whose next request has the earliest latest start, among the classes below
     /// their share of the slots.
     fn next_class(&self) -> Option<ClassName> {
-        let slots = self.executors.slots();
+        let slots = self.executors.total_slots();
         let shortest_target = self.classes.values().map(|class| class.finish_within).min()?;
         self.classes
             .iter()
--- a/crates/jackdawpier_route/src/executors.rs
+++ b/crates/jackdawpier_route/src/executors.rs
@@ -42,9 +42,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Health {
     /// The executor answered or declined the request.
-    Good,
+    Healthy,
     /// The executor reported a failure or its answer was lost.
-    Bad,
+    Failing,
     /// The connection failed.
     Unreachable,
 }
@@ -67,8 +67,8 @@
         !self.info.is_leaving && self.ejected_until.is_none() && self.in_flight < limit
     }
 
-    /// Returns the sort key for the choice: executors without recent failures first,
-    /// then the least loaded, then the least recently used.
+    /// Returns the sort key for the choice: executors without recent failures first, then the least
+    /// loaded, then the least recently used.
     fn rank(&self) -> (bool, u32, u64) {
         (self.consecutive_failures > 0, self.in_flight, self.last_use)
     }
@@ -90,13 +90,13 @@
     by_ejection_end: BTreeSet<(Now, ExecutorId)>,
     zones: HashMap<ZoneName, ZoneCounts>,
     use_count: u64,
-    slots: u32,
+    total_slots: u32,
 }
 
 impl Executors {
     /// Returns the slots of all executors that aren't leaving, including ejected ones.
-    pub fn slots(&self) -> u32 {
-        self.slots
+    pub fn total_slots(&self) -> u32 {
+        self.total_slots
     }
 
     /// Returns the number of executors that aren't leaving, including ejected ones.
@@ -190,14 +190,14 @@
     /// Updates the health of an executor after an attempt, and ejects it if need be.
     pub fn observe(&mut self, now: Now, id: &str, health: Health) {
         let may_eject = match health {
-            Health::Good => false,
+            Health::Healthy => false,
             Health::Unreachable => true,
-            Health::Bad => self.may_eject_in_zone(id),
+            Health::Failing => self.may_eject_in_zone(id),
         };
         let mut ejection_end = None;
         self.update(id, |executor| {
             let executor = executor?;
-            if health == Health::Good {
+            if health == Health::Healthy {
                 executor.consecutive_failures = 0;
                 executor.backoff = INITIAL_BACKOFF;
                 return None;
@@ -252,7 +252,7 @@
     fn remove_from_indexes(&mut self, id: &str) {
         let Some(executor) = self.all.get(id) else { return };
         self.usable.remove(&(executor.rank(), executor.info.id.clone()));
-        self.slots -= if executor.info.is_leaving { 0 } else { executor.info.slots };
+        self.total_slots -= if executor.info.is_leaving { 0 } else { executor.info.slots };
         if let Some(zone) = self.zones.get_mut(&executor.info.zone) {
             zone.all -= 1;
             zone.ejected -= usize::from(executor.ejected_until.is_some());
@@ -261,7 +261,7 @@
 
     fn add_to_indexes(&mut self, id: &str) {
         let Some(executor) = self.all.get(id) else { return };
-        self.slots += if executor.info.is_leaving { 0 } else { executor.info.slots };
+        self.total_slots += if executor.info.is_leaving { 0 } else { executor.info.slots };
         if executor.has_free_slot() {
             self.usable.insert((executor.rank(), executor.info.id.clone()));
         }
--- a/crates/jackdawpier_route/tests/ejection.rs
+++ b/crates/jackdawpier_route/tests/ejection.rs
@@ -36,7 +36,7 @@
     let mut executors = zone_with(6);
     for _ in 0..10 {
         for index in 0..6 {
-            executors.observe(Now::ZERO, &format!("executor-{index}"), Health::Bad);
+            executors.observe(Now::ZERO, &format!("executor-{index}"), Health::Failing);
         }
     }
     assert_eq!(usable_count(&mut executors), 3, "half of the zone stays in use");
@@ -60,7 +60,7 @@
     assert!(executors.acquire_slot().is_some());
     assert!(executors.acquire_slot().is_none(), "one probe at a time");
     executors.release_slot("executor-0");
-    executors.observe(Duration::from_secs(1), "executor-0", Health::Good);
+    executors.observe(Duration::from_secs(1), "executor-0", Health::Healthy);
     assert!(executors.acquire_slot().is_some() && executors.acquire_slot().is_some());
 }
 
--- a/crates/jackdawpier_route/tests/limits.rs
+++ b/crates/jackdawpier_route/tests/limits.rs
@@ -213,7 +213,9 @@
                 Command::Refuse { ticket, .. } => {
                     let request = self.requests.get(&ticket).expect("a known request");
                     if request.may_have_run || request.running_on.is_some() {
-                        return Err(format!("{ticket} told \"not run\" though it may have run"));
+                        return Err(format!(
+                            "{ticket} was refused as not run though it may have run"
+                        ));
                     }
                     self.finish(ticket)?;
                 }
--- a/crates/jackdawpierd/src/capacity/held.rs
+++ b/crates/jackdawpierd/src/capacity/held.rs
@@ -250,9 +250,9 @@
             "accepted": changed,
             "wave": self.wave_id,
             "state": wave.state(),
-            "done": wave.done(),
+            "done": wave.done_count(),
             "out": wave.out().len(),
-            "pending": wave.pending(),
+            "pending": wave.pending_count(),
             "moves": self.moves,
             "held_by": self.hold.map(|hold| hold.to_string()),
         })
--- a/crates/jackdawpierd/src/service.rs
+++ b/crates/jackdawpierd/src/service.rs
@@ -314,7 +314,7 @@
         let mut figures = ServiceFigures {
             queued: state.dispatcher.queued(),
             pending: state.dispatcher.pending(),
-            slots: state.dispatcher.executors().slots(),
+            slots: state.dispatcher.executors().total_slots(),
             ..ServiceFigures::default()
         };
         if let Some(owned) = &state.owned {
