--- a/crates/jackdawpier_entry/src/owner/explain.rs
+++ b/crates/jackdawpier_entry/src/owner/explain.rs
@@ -39,7 +39,7 @@
 
     /// Says of each executor that was lost which tasks it took along, and which of them are blamed.
     pub(super) fn log_losses(&self) {
-        let (losses, task_crashes, given_up, pauses) = {
+        let (losses, task_crashes, given_up, backoffs) = {
             let mut fleet = self.fleet.borrow_mut();
             let (losses, task_crashes) = (fleet.take_executor_losses(), fleet.take_task_crashes());
             (losses, task_crashes, fleet.take_given_up_tasks(), fleet.take_crash_backoffs())
@@ -47,14 +47,14 @@
         for loss in &losses {
             self.events.emit("executor_lost", lost(loss));
         }
-        for blame in &task_crashes {
-            self.events.emit("task_suspect", blamed(blame));
+        for task_crash in &task_crashes {
+            self.events.emit("task_suspect", blamed(task_crash));
         }
         for task in &given_up {
             self.events.emit("task_given_up", not_started_again(task));
         }
-        for pause in &pauses {
-            self.events.emit("task_held_back", tried_again_later(pause));
+        for backoff in &backoffs {
+            self.events.emit("task_held_back", tried_again_later(backoff));
         }
     }
 }
@@ -93,8 +93,8 @@
     })
 }
 
-fn blamed(blame: &TaskCrash) -> Value {
-    let TaskCrash { task, run, executor, crash, crashes, .. } = blame;
+fn blamed(task_crash: &TaskCrash) -> Value {
+    let TaskCrash { task, run, executor, crash, crashes, .. } = task_crash;
     json!({
         "task": task.to_string(),
         "run": run,
@@ -111,9 +111,9 @@
     json!({ "task": task.to_string(), "run": run, "crashes": crashes, "job_goes_on": job_goes_on })
 }
 
-/// Without a pause it isn't started again.
-fn tried_again_later(pause: &CrashBackoff) -> Value {
-    let CrashBackoff { task, run, crashes, duration } = pause;
+/// Without a duration the task isn't started again.
+fn tried_again_later(backoff: &CrashBackoff) -> Value {
+    let CrashBackoff { task, run, crashes, duration } = backoff;
     let pause_ms = duration.map(|time| time.as_millis() as u64);
     json!({ "task": task.to_string(), "run": run, "crashes": crashes, "pause_ms": pause_ms })
 }
--- a/crates/jackdawpier_fleet/src/fleet/crash_attribution.rs
+++ b/crates/jackdawpier_fleet/src/fleet/crash_attribution.rs
@@ -36,7 +36,7 @@
 /// longer may already have crashed when the order was sent.
 const MAX_SILENCE_BEFORE_ORDER: Duration = Duration::from_millis(300);
 /// A long-running task is cleared of this and earlier crashes after this run time. It is present at every
-/// crash of its executor, whatever the cause.
+/// crash of its executor, whatever the cause, so its presence alone is no evidence.
 const CLEARING_RUN_TIME: Duration = Duration::from_secs(2);
 /// Maximum number of executors per service that are reserved for waiting suspects at the same time.
 const MAX_RESERVED_FOR_SUSPECTS: usize = 2;
@@ -80,47 +80,48 @@
         std::mem::take(&mut self.given_up)
     }
 
-    /// Counts the crash of an executor against the tasks that were ordered there; `signs` are the last
+    /// Counts the crash of an executor against the tasks that were ordered there; `contact` are the last
     /// contacts with the incarnation that crashed.
     pub(super) fn note_crash(
         &mut self,
         now: Now,
         id: &ExecutorId,
         is_certain: bool,
-        signs: LastContact,
+        contact: LastContact,
         tasks: &[TaskRef],
     ) {
-        let signs = LastContact { listing_gap: self.machines.listing_gap(now), ..signs };
+        let contact = LastContact { listing_gap: self.machines.listing_gap(now), ..contact };
         let crashes: Vec<(&TaskRef, Crash)> = tasks
             .iter()
             .filter_map(|one| {
                 let job = self.jobs.get(&one.0)?;
                 let (task, step) = (&job.tasks[one.1], job.step(one.1));
-                Some((one, assess_crash(now, task, step, signs, is_certain)?))
+                Some((one, assess_crash(now, task, step, contact, is_certain)?))
             })
             .collect();
-        let isolated = self.isolated_task(id, signs);
+        let isolated = self.isolated_task(id, contact);
         let runs = crashes.iter().map(|(task, crash)| ((*task).clone(), crash.run)).collect();
-        let is_spontaneous = is_certain
-            && tasks.iter().all(|task| self.observed_run_time(task, signs) >= CLEARING_RUN_TIME);
+        let lacks_recent_start = is_certain
+            && tasks.iter().all(|task| self.observed_run_time(task, contact) >= CLEARING_RUN_TIME);
         self.recent_crashes.note(ExecutorCrash {
             at: now,
             service: self.executors.get(id).and_then(Executor::service),
             is_isolated: isolated.is_some(),
-            is_spontaneous,
+            lacks_recent_start,
             runs,
         });
-        let confirmed = crashes.iter().filter_map(|(task, _)| self.confirmed_run_time(task, signs));
+        let confirmed =
+            crashes.iter().filter_map(|(task, _)| self.confirmed_run_time(task, contact));
         let shortest = confirmed.min();
         let has_recent_start = shortest.is_some_and(|run_time| run_time < CLEARING_RUN_TIME);
         for (task_ref, mut crash) in crashes {
             if self.is_long_running_task(task_ref)
-                && self.observed_run_time(task_ref, signs) >= CLEARING_RUN_TIME
+                && self.observed_run_time(task_ref, contact) >= CLEARING_RUN_TIME
             {
                 self.clear_crashes(task_ref);
                 continue;
             }
-            let run_time = self.confirmed_run_time(task_ref, signs);
+            let run_time = self.confirmed_run_time(task_ref, contact);
             // A run whose start was never confirmed may not have begun at all.
             let has_likelier_cause = match (run_time, shortest) {
                 (Some(run_time), Some(shortest)) => {
@@ -137,15 +138,15 @@
 
     /// Returns the time between the confirmation of a task's start and the executor's last answer; none if
     /// the start was never confirmed.
-    fn confirmed_run_time(&self, task_ref: &TaskRef, signs: LastContact) -> Option<Duration> {
-        self.task(task_ref).and_then(|task| run_time(task, signs))
+    fn confirmed_run_time(&self, task_ref: &TaskRef, contact: LastContact) -> Option<Duration> {
+        self.task(task_ref).and_then(|task| run_time(task, contact))
     }
 
     /// Returns for how long this owner has observed a task running.
-    fn observed_run_time(&self, task_ref: &TaskRef, signs: LastContact) -> Duration {
+    fn observed_run_time(&self, task_ref: &TaskRef, contact: LastContact) -> Duration {
         let confirmed_at = self.task(task_ref).and_then(|task| task.confirmed_at);
         let observed_from = confirmed_at.map(|at| at.max(self.started_at));
-        observed_from.map(|at| signs.last_answer.saturating_sub(at)).unwrap_or_default()
+        observed_from.map(|at| contact.last_answer.saturating_sub(at)).unwrap_or_default()
     }
 
     /// Returns whether the executor has confirmed the start of a task to this owner.
@@ -158,6 +159,7 @@
         self.jobs.get(&task_ref.0).is_some_and(|job| job.step(task_ref.1).is_long_running)
     }
 
+    /// Counts one crash against a task, and records it for the log.
     fn attribute_crash(&mut self, id: &ExecutorId, task_ref: &TaskRef, crash: Crash) {
         let Some(job) = self.jobs.get_mut(&task_ref.0) else { return };
         let task_key = job.key(task_ref.1);
@@ -178,10 +180,10 @@
     }
 
     /// Returns the task that ran in isolation on an executor when the executor last answered.
-    fn isolated_task(&self, id: &ExecutorId, signs: LastContact) -> Option<TaskRef> {
-        let watch = self.executors.get(id)?.isolated_start.as_ref()?;
-        let is_active = watch.until.is_none_or(|until| signs.last_answer < until);
-        is_active.then(|| watch.task.clone())
+    fn isolated_task(&self, id: &ExecutorId, contact: LastContact) -> Option<TaskRef> {
+        let isolated_start = self.executors.get(id)?.isolated_start.as_ref()?;
+        let is_active = isolated_start.until.is_none_or(|until| contact.last_answer < until);
+        is_active.then(|| isolated_start.task.clone())
     }
 
     /// Returns whether two references name the same task or members of the same gang.
@@ -209,10 +211,10 @@
         id: &ExecutorId,
         running: impl Iterator<Item = &'a TaskRef>,
     ) {
-        let Some(signs) = self.executors.get(id).map(Executor::last_contact) else { return };
+        let Some(contact) = self.executors.get(id).map(Executor::last_contact) else { return };
         let is_cleared = |task: &&TaskRef| {
             self.is_long_running_task(task)
-                && self.observed_run_time(task, signs) >= CLEARING_RUN_TIME
+                && self.observed_run_time(task, contact) >= CLEARING_RUN_TIME
         };
         let cleared: Vec<&TaskRef> = running.filter(is_cleared).collect();
         cleared.into_iter().for_each(|task| self.clear_crashes(task));
@@ -220,8 +222,9 @@
 
     /// Returns whether a task has to start in isolation.
     pub(super) fn is_suspect(&self, job: &Job, index: TaskIndex) -> bool {
-        let lasts = job.step(index).is_long_running;
-        job.tasks[index].isolation_time(lasts).is_some() && self.settings.policy.isolates_suspects
+        let is_long_running = job.step(index).is_long_running;
+        job.tasks[index].isolation_time(is_long_running).is_some()
+            && self.settings.policy.isolates_suspects
     }
 
     /// Returns whether a suspect may start on an executor: the executor has answered recently, so that a
@@ -336,8 +339,8 @@
 
 /// Returns the time between the confirmation of a task's start and the executor's last answer; none if
 /// the start was never confirmed.
-fn run_time(task: &Task, signs: LastContact) -> Option<Duration> {
-    task.confirmed_at.map(|at| signs.last_answer.saturating_sub(at))
+fn run_time(task: &Task, contact: LastContact) -> Option<Duration> {
+    task.confirmed_at.map(|at| contact.last_answer.saturating_sub(at))
 }
 
 /// Returns the evidence of an executor's crash against a task; none if the run may not have begun at all. A crash that
@@ -346,44 +349,46 @@
     now: Now,
     task: &Task,
     step: &StepSpec,
-    signs: LastContact,
+    contact: LastContact,
     is_certain: bool,
 ) -> Option<Crash> {
-    let run_time = run_time(task, signs);
+    let run_time = run_time(task, contact);
     let may_have_begun = match task.phase {
         Phase::Planned { .. } => false,
         Phase::Inherited { .. } => true,
-        _ => run_time.is_some() || signs.last_answer + MAX_SILENCE_BEFORE_ORDER >= task.ordered_at,
+        _ => {
+            run_time.is_some() || contact.last_answer + MAX_SILENCE_BEFORE_ORDER >= task.ordered_at
+        }
     };
     if !may_have_begun {
         return None;
     }
     let was_unresponsive =
-        run_time.is_none() && signs.first_failure.is_some_and(|at| at <= task.ordered_at);
+        run_time.is_none() && contact.first_failure.is_some_and(|at| at <= task.ordered_at);
     if was_unresponsive || !is_certain {
         return Some(Crash { run: task.run, has_likelier_cause: true, ..Crash::default() });
     }
-    let may_be_stopped = signs.last_answer < task.late_stop_until;
+    let may_be_stopped = contact.last_answer < task.late_stop_until;
     let is_stopping = may_be_stopped || matches!(task.phase, Phase::Stopping { .. });
     let was_running =
-        run_time.is_some() && !is_stopping && !may_have_ended_unreported(now, task, step, signs);
-    let is_confirmed = was_running && signs.is_current_until_crash(now);
+        run_time.is_some() && !is_stopping && !may_have_ended_unreported(now, task, step, contact);
+    let is_confirmed = was_running && contact.is_current_until_crash(now);
     let is_at_start = run_time.is_none_or(|time| time <= START_CRASH_WINDOW);
-    let bounds = run_time_bounds(now, task, signs).filter(|_| is_confirmed);
+    let bounds = run_time_bounds(now, task, contact).filter(|_| is_confirmed);
     Some(Crash { run: task.run, is_confirmed, is_at_start, run_time: bounds, ..Crash::default() })
 }
 
 /// Returns whether a run may have ended unreported before its executor crashed: the executor was listed after it had
 /// failed to answer, so it was partitioned, and the run was due to end by now.
-fn may_have_ended_unreported(now: Now, task: &Task, step: &StepSpec, signs: LastContact) -> bool {
-    let was_partitioned = signs.first_failure.is_some_and(|at| signs.last_listing > at);
+fn may_have_ended_unreported(now: Now, task: &Task, step: &StepSpec, contact: LastContact) -> bool {
+    let was_partitioned = contact.first_failure.is_some_and(|at| contact.last_listing > at);
     was_partitioned && !step.is_long_running && task.ordered_at + step.estimate <= now
 }
 
 /// Returns the bounds of a task's run time at the crash of its executor; none if this owner didn't order the run.
-fn run_time_bounds(now: Now, task: &Task, signs: LastContact) -> Option<RunTimeBounds> {
-    let least = run_time(task, signs).filter(|_| task.ordered_at > Now::ZERO)?;
-    let most = signs.first_failure.unwrap_or(now).saturating_sub(task.ordered_at);
+fn run_time_bounds(now: Now, task: &Task, contact: LastContact) -> Option<RunTimeBounds> {
+    let least = run_time(task, contact).filter(|_| task.ordered_at > Now::ZERO)?;
+    let most = contact.first_failure.unwrap_or(now).saturating_sub(task.ordered_at);
     Some(RunTimeBounds { least_ms: least.as_millis() as u64, most_ms: most.as_millis() as u64 })
 }
 
--- a/crates/jackdawpier_fleet/src/fleet/crash_backoff.rs
+++ b/crates/jackdawpier_fleet/src/fleet/crash_backoff.rs
@@ -24,7 +24,7 @@
     pub run: RunNumber,
     /// Number of crashes that count against the task.
     pub crashes: usize,
-    /// How long it lasts; none if the task isn't started again.
+    /// Its duration; none if the task isn't started again.
     pub duration: Option<Duration>,
 }
 
@@ -32,7 +32,7 @@
 #[derive(Debug)]
 struct BackedOffTask {
     task: TaskRef,
-    /// When the back-off may end early, if executors also crash without the task.
+    /// When the back-off may end early, if unattributed crashes also occur without the task.
     earliest_end: Now,
     until: Now,
 }
--- a/crates/jackdawpier_fleet/src/fleet/executors.rs
+++ b/crates/jackdawpier_fleet/src/fleet/executors.rs
@@ -87,11 +87,11 @@
     pub fn expire_executors(&mut self, now: Now) {
         let lapsed = self.executors.keys_where(|id, executor| {
             let is_idle = executor.tasks.is_empty();
-            let is_silent = !executor.is_synced
+            let is_unresponsive = !executor.is_synced
                 || executor
                     .clock_read_at()
                     .is_none_or(|at| now.saturating_sub(at) > self.settings.lease / 2);
-            let is_lost = !executor.is_listed || is_silent;
+            let is_lost = !executor.is_listed || is_unresponsive;
             is_lost
                 && !is_idle
                 && !self.is_presumed_alive(now, id, executor)
@@ -100,11 +100,11 @@
         lapsed.iter().for_each(|id| self.release_lost_executor(now, id, LossEvidence::Lapsed));
         let lease = self.settings.lease;
         self.executors.retain(|_, executor| {
-            let is_heard =
+            let is_responsive =
                 executor.clock_read_at().is_some_and(|at| now.saturating_sub(at) < lease);
             executor.is_listed
                 || !executor.tasks.is_empty()
-                || (executor.has_unacknowledged() && is_heard)
+                || (executor.has_unacknowledged() && is_responsive)
         });
     }
 
--- a/crates/jackdawpier_fleet/src/fleet/incarnations.rs
+++ b/crates/jackdawpier_fleet/src/fleet/incarnations.rs
@@ -54,12 +54,12 @@
             })
             .collect();
         let Some(executor) = self.executors.get(id) else { return };
-        let signs = executor.previous_last_contact;
+        let contact = executor.previous_last_contact;
         let lost: Vec<TaskRef> =
             executor.tasks.iter().filter(|task| !still_running.contains(*task)).cloned().collect();
         self.note_loss(now, id, evidence, &lost);
         if evidence != LossEvidence::Taken {
-            self.note_crash(now, id, evidence == LossEvidence::Restarted, signs, &lost);
+            self.note_crash(now, id, evidence == LossEvidence::Restarted, contact, &lost);
         }
         lost.iter().for_each(|task| self.settle_lost_run(now, sent_at, task));
         lost.iter().for_each(|task| self.give_up(now, task));
@@ -92,26 +92,26 @@
     pub(super) fn report_origin(&mut self, report: &HoldReport) -> ReportOrigin {
         match (self.incarnation, report.incarnation) {
             (_, None) => ReportOrigin::Current,
-            (None, Some(life)) => {
-                self.incarnation = Some(life);
+            (None, Some(incarnation)) => {
+                self.incarnation = Some(incarnation);
                 ReportOrigin::Current
             }
-            (Some(known), Some(life)) if known == life => ReportOrigin::Current,
-            (Some(_), Some(life)) if self.previous_incarnations.contains(&life) => {
+            (Some(known), Some(incarnation)) if known == incarnation => ReportOrigin::Current,
+            (Some(_), Some(incarnation)) if self.previous_incarnations.contains(&incarnation) => {
                 ReportOrigin::Previous
             }
-            (Some(_), Some(life)) => ReportOrigin::New(life),
+            (Some(_), Some(incarnation)) => ReportOrigin::New(incarnation),
         }
     }
 
     /// Updates the incarnation from the registry. If the known one is over, a new one begins.
     pub(super) fn note_registered(&mut self, now: Now, info: &ExecutorInfo) {
-        let Some(life) = info.incarnation else { return };
-        let is_other =
-            self.incarnation != Some(life) && !self.previous_incarnations.contains(&life);
+        let Some(incarnation) = info.incarnation else { return };
+        let is_other = self.incarnation != Some(incarnation)
+            && !self.previous_incarnations.contains(&incarnation);
         match self.incarnation {
-            None => self.incarnation = Some(life),
-            Some(_) if is_other && self.has_ended => self.begin_incarnation(now, life),
+            None => self.incarnation = Some(incarnation),
+            Some(_) if is_other && self.has_ended => self.begin_incarnation(now, incarnation),
             // Its first report settles the runs of the previous incarnation.
             Some(_) if is_other => {
                 self.failed_at.get_or_insert(now);
--- a/crates/jackdawpier_fleet/src/fleet/losses.rs
+++ b/crates/jackdawpier_fleet/src/fleet/losses.rs
@@ -68,7 +68,7 @@
         evidence: LossEvidence,
     ) {
         let Some(executor) = self.executors.get(id) else { return };
-        let signs = executor.last_contact();
+        let contact = executor.last_contact();
         let is_lapsed = evidence == LossEvidence::Lapsed;
         // The loss is reported repeatedly: the registry still has the executor for seconds, and each list of machines
         // shows again that it is missing.
@@ -81,7 +81,7 @@
             self.machines.note_executor_ended(id);
         }
         if is_first_notice && crash != Likelihood::Excluded {
-            self.note_crash(now, id, crash == Likelihood::Certain, signs, &tasks);
+            self.note_crash(now, id, crash == Likelihood::Certain, contact, &tasks);
         }
         tasks.iter().for_each(|task| self.end_run(now, task, None));
     }
--- a/crates/jackdawpier_fleet/src/fleet/probation.rs
+++ b/crates/jackdawpier_fleet/src/fleet/probation.rs
@@ -40,7 +40,7 @@
         let Some(task) = self.task(task_ref) else { return false };
         let has_crashed_on_probation = has_crashed_on_probation(task.crashes());
         let is_recent = |crash: &&ExecutorCrash| now.saturating_sub(crash.at) < RECENT_CRASH_WINDOW;
-        let counts = |crash: &ExecutorCrash| crash.is_spontaneous || !has_crashed_on_probation;
+        let counts = |crash: &ExecutorCrash| crash.lacks_recent_start || !has_crashed_on_probation;
         let mut recent = self.recent_crashes.not_isolated().take_while(is_recent);
         recent.any(|crash| counts(crash) && !crash.involves(task_ref))
     }
--- a/crates/jackdawpier_fleet/src/fleet/recent_crashes.rs
+++ b/crates/jackdawpier_fleet/src/fleet/recent_crashes.rs
@@ -24,7 +24,7 @@
     /// A task ran in isolation there, which is the likely cause.
     pub(super) is_isolated: bool,
     /// No task had started there recently, so a task is an unlikely cause.
-    pub(super) is_spontaneous: bool,
+    pub(super) lacks_recent_start: bool,
     /// The runs on the executor.
     pub(super) runs: Vec<RunRef>,
 }
--- a/crates/jackdawpier_fleet/src/fleet/reservations.rs
+++ b/crates/jackdawpier_fleet/src/fleet/reservations.rs
@@ -57,9 +57,9 @@
                 let job = &self.jobs[id];
                 let index = starved_task(now, job, STARVED_AFTER)?;
                 let waiting_since = job.tasks[index].waiting_since;
-                let unserved_since =
+                let unplaced_since =
                     job.last_placed_at.map_or(waiting_since, |at| at.max(waiting_since));
-                Some((unserved_since, id.clone()))
+                Some((unplaced_since, id.clone()))
             })
             .collect();
         for (_, id) in starved {
--- a/crates/jackdawpier_fleet/tests/world/mod.rs
+++ b/crates/jackdawpier_fleet/tests/world/mod.rs
@@ -463,20 +463,20 @@
 
     fn execute_commands(&mut self) {
         let task_crashes = self.fleet.take_task_crashes();
-        let pauses = self.fleet.take_crash_backoffs();
+        let backoffs = self.fleet.take_crash_backoffs();
         if std::env::var("TRACE").is_ok() {
             task_crashes.iter().for_each(|crash| println!("{:?} {crash:?}", self.now));
             self.fleet
                 .take_executor_losses()
                 .iter()
                 .for_each(|one| println!("{:?} {one:?}", self.now));
-            pauses.iter().for_each(|pause| println!("{:?} {pause:?}", self.now));
+            backoffs.iter().for_each(|backoff| println!("{:?} {backoff:?}", self.now));
             self.fleet
                 .take_given_up_tasks()
                 .iter()
                 .for_each(|one| println!("{:?} {one:?}", self.now));
         }
-        self.long_running.backoffs.extend(pauses);
+        self.long_running.backoffs.extend(backoffs);
         for command in self.fleet.take_commands() {
             if std::env::var("TRACE").is_ok() {
                 println!("{:?} fence {}: {command:?}", self.now, self.fence);
