--- a/crates/jackdawpier_fleet/tests/histories.rs
+++ b/crates/jackdawpier_fleet/tests/histories.rs
@@ -484,7 +484,7 @@
         .filter(|pause| !world.crashes.is_crashing_task(&pause.task));
     let pauses_s: Vec<Option<u64>> =
         pauses.map(|pause| pause.duration.map(|time| time.as_secs())).collect();
-    let (crashed, long_running_jobs) = (world.crashes.executor_crashes, long_running_jobs.len());
+    let (crashed, long_running_jobs) = (world.crashes.crashed_executors, long_running_jobs.len());
     println!(
         "seed {seed}: crashed {crashed}, given up {unrelated_failures}, lasting jobs {long_running_jobs}, away {gaps_ms:?} ms, \
          held back {pauses_s:?} s"
--- a/crates/jackdawpier_fleet/tests/world/crashes.rs
+++ b/crates/jackdawpier_fleet/tests/world/crashes.rs
@@ -22,7 +22,7 @@
     /// Time after which the machine is back.
     pub restart_after: Duration,
     /// Number of executor crashes, whatever the cause.
-    pub executor_crashes: usize,
+    pub crashed_executors: usize,
     /// Times of the executor crashes during each task, whatever the cause.
     by_task: BTreeMap<TaskKey, Vec<Duration>>,
 }
@@ -33,7 +33,7 @@
             crashing_jobs: Vec::new(),
             crash_after: Duration::from_millis(10),
             restart_after: Duration::from_secs(2),
-            executor_crashes: 0,
+            crashed_executors: 0,
             by_task: BTreeMap::new(),
         }
     }
@@ -42,7 +42,7 @@
 impl Crashes {
     pub(super) fn note<'a>(&mut self, now: Duration, tasks: impl Iterator<Item = &'a TaskKey>) {
         let tasks: Vec<&TaskKey> = tasks.collect();
-        self.executor_crashes += 1;
+        self.crashed_executors += 1;
         if std::env::var("TRACE").is_ok() {
             println!("{now:?} crash under {tasks:?}");
         }
