--- a/crates/jackdawpier_fleet/src/crash.rs
+++ b/crates/jackdawpier_fleet/src/crash.rs
@@ -77,11 +77,11 @@
 const CONCLUSIVE_CRASHES: [usize; 4] = [5, 5, 4, 3];
 
 /// Number of crashes after which further starts of a task are limited.
-const MAX_CRASHES: usize = 3;
+const START_LIMIT_CRASHES: usize = 3;
 /// Number of crashes with strong evidence that are conclusive; the start after the first was isolated.
 const CONCLUSIVE_STRONG_CRASHES: usize = 2;
 /// Maximum number of starts after the third crash, whatever their outcome.
-const MAX_STARTS_AFTER: u32 = 2;
+const MAX_STARTS_AFTER_LIMIT: u32 = 2;
 /// Isolation of tasks whose executors crashed at the start: about thirty times the time that such a crash
 /// takes.
 const ISOLATION_AT_START: Duration = Duration::from_millis(300);
@@ -114,7 +114,7 @@
     refused: &[RunNumber],
     is_long_running: bool,
 ) -> bool {
-    let max_crashes_with_sole_suspect = MAX_CRASHES + usize::from(is_long_running);
+    let max_crashes_with_sole_suspect = START_LIMIT_CRASHES + usize::from(is_long_running);
     let confirmed = crashes.iter().filter(|crash| crash.is_confirmed).count();
     let was_sole_suspect =
         confirmed >= CONCLUSIVE_STRONG_CRASHES && crashes.iter().any(Crash::is_sole_suspect);
@@ -126,15 +126,16 @@
 /// Returns whether `run` was the last start that a task may have. Never true for a task whose crashes all
 /// have a likelier cause.
 fn has_used_up_starts(crashes: &[Crash], run: RunNumber, refused: &[RunNumber]) -> bool {
-    let Some(third) = crashes.get(MAX_CRASHES - 1) else { return false };
-    let is_certain = crashes.iter().any(|crash| crash.is_confirmed);
-    let own = own(crashes).count();
-    let is_known = own >= CONCLUSIVE_STRONG_CRASHES || (is_certain && own > 0);
-    is_known && starts_after(third, run, refused) >= MAX_STARTS_AFTER
+    let Some(third) = crashes.get(START_LIMIT_CRASHES - 1) else { return false };
+    let is_any_confirmed = crashes.iter().any(|crash| crash.is_confirmed);
+    let without_likelier_cause = without_likelier_cause(crashes).count();
+    let has_enough_evidence = without_likelier_cause >= CONCLUSIVE_STRONG_CRASHES
+        || (is_any_confirmed && without_likelier_cause > 0);
+    has_enough_evidence && starts_after_limit(third, run, refused) >= MAX_STARTS_AFTER_LIMIT
 }
 
 /// Returns the number of starts after the third crash that may have been executed.
-fn starts_after(third: &Crash, run: RunNumber, refused: &[RunNumber]) -> u32 {
+fn starts_after_limit(third: &Crash, run: RunNumber, refused: &[RunNumber]) -> u32 {
     let never_started = refused.iter().filter(|refused| **refused > third.run).count() as u32;
     run.saturating_sub(third.run).saturating_sub(never_started)
 }
@@ -142,7 +143,7 @@
 /// Returns whether an executor of a long-running task crashed during probation.
 #[must_use]
 pub fn has_crashed_on_probation(crashes: &[Crash]) -> bool {
-    crashes.iter().skip(MAX_CRASHES).any(Crash::is_sole_suspect)
+    crashes.iter().skip(START_LIMIT_CRASHES).any(Crash::is_sole_suspect)
 }
 
 /// Returns whether the executors may have crashed after the same run time of the task each time. That is
@@ -159,24 +160,25 @@
 /// probation distinguishes the two.
 #[must_use]
 pub fn retry(crashes: &[Crash], run: RunNumber, refused: &[RunNumber]) -> Retry {
-    let third = crashes.get(MAX_CRASHES - 1);
-    if third.is_some_and(|third| starts_after(third, run, refused) >= MAX_STARTS_AFTER) {
+    let third = crashes.get(START_LIMIT_CRASHES - 1);
+    if third.is_some_and(|third| starts_after_limit(third, run, refused) >= MAX_STARTS_AFTER_LIMIT)
+    {
         return Retry::Never;
     }
     if !is_on_probation(crashes) {
         return Retry::AtOnce;
     }
-    let at_once =
+    let strong_at_start =
         crashes.iter().filter(|crash| crash.is_strong_evidence() && crash.is_at_start).count();
-    let has_failed_alike = has_crashed_on_probation(crashes) && run_times_agree(crashes);
-    let is_plain = at_once >= CONCLUSIVE_STRONG_CRASHES || has_failed_alike;
-    Retry::After(if is_plain { BACKOFF_CONCLUSIVE } else { BACKOFF_SUSPECT })
+    let has_crashed_alike = has_crashed_on_probation(crashes) && run_times_agree(crashes);
+    let is_conclusive = strong_at_start >= CONCLUSIVE_STRONG_CRASHES || has_crashed_alike;
+    Retry::After(if is_conclusive { BACKOFF_CONCLUSIVE } else { BACKOFF_SUSPECT })
 }
 
 /// Returns whether the evidence puts each further start of a long-running task on probation.
 #[must_use]
 pub fn is_on_probation(crashes: &[Crash]) -> bool {
-    crashes.len() >= MAX_CRASHES || suspicion(crashes) == Suspicion::Conclusive
+    crashes.len() >= START_LIMIT_CRASHES || suspicion(crashes) == Suspicion::Conclusive
 }
 
 /// Returns for how long the start of a task is isolated; `None` if it isn't. A long-running task on probation
@@ -185,7 +187,9 @@
 pub fn isolation_time(crashes: &[Crash], is_long_running: bool) -> Option<Duration> {
     match suspicion(crashes) {
         _ if is_long_running && is_on_probation(crashes) => Some(ISOLATION_AT_WORK),
-        Suspicion::None if is_long_running => certain(crashes).next().map(|_| ISOLATION_AT_WORK),
+        Suspicion::None if is_long_running => {
+            confirmed_without_other_cause(crashes).next().map(|_| ISOLATION_AT_WORK)
+        }
         Suspicion::None => None,
         Suspicion::Isolated(time) => Some(time),
         Suspicion::Conclusive => is_long_running.then_some(ISOLATION_AT_WORK),
@@ -201,15 +205,18 @@
         return Suspicion::None;
     }
     let strong = crashes.iter().filter(|crash| crash.is_strong_evidence()).count();
-    let confirmed = own(crashes).filter(|crash| crash.is_confirmed).count();
-    let enough = CONCLUSIVE_CRASHES[confirmed.min(CONCLUSIVE_CRASHES.len() - 1)];
-    let counts_all = crashes.len() >= MAX_CRASHES;
-    if own(crashes).count() >= enough || strong >= CONCLUSIVE_STRONG_CRASHES {
+    let confirmed = without_likelier_cause(crashes).filter(|crash| crash.is_confirmed).count();
+    let conclusive_crashes = CONCLUSIVE_CRASHES[confirmed.min(CONCLUSIVE_CRASHES.len() - 1)];
+    let counts_other_causes = crashes.len() >= START_LIMIT_CRASHES;
+    if without_likelier_cause(crashes).count() >= conclusive_crashes
+        || strong >= CONCLUSIVE_STRONG_CRASHES
+    {
         return Suspicion::Conclusive;
     }
-    let counted = crashes.iter().filter(|crash| counts_all || !crash.has_other_cause);
-    let (sudden, late): (Vec<&Crash>, Vec<&Crash>) = counted.partition(|crash| crash.is_at_start);
-    match (sudden.len(), late.len()) {
+    let counted = crashes.iter().filter(|crash| counts_other_causes || !crash.has_other_cause);
+    let (at_start, later): (Vec<&Crash>, Vec<&Crash>) =
+        counted.partition(|crash| crash.is_at_start);
+    match (at_start.len(), later.len()) {
         (0, 0 | 1) => Suspicion::None,
         (_, 0) => Suspicion::Isolated(ISOLATION_AT_START),
         _ => Suspicion::Isolated(ISOLATION_AT_WORK),
@@ -218,11 +225,11 @@
 
 /// Returns the crashes during which the task was certainly running and that have no likelier or known other
 /// cause.
-fn certain(crashes: &[Crash]) -> impl Iterator<Item = &Crash> {
-    own(crashes).filter(|crash| crash.is_confirmed && !crash.has_other_cause)
+fn confirmed_without_other_cause(crashes: &[Crash]) -> impl Iterator<Item = &Crash> {
+    without_likelier_cause(crashes).filter(|crash| crash.is_confirmed && !crash.has_other_cause)
 }
 
 /// Returns the crashes without a likelier cause.
-fn own(crashes: &[Crash]) -> impl Iterator<Item = &Crash> {
+fn without_likelier_cause(crashes: &[Crash]) -> impl Iterator<Item = &Crash> {
     crashes.iter().filter(|crash| !crash.has_likelier_cause)
 }
--- a/crates/jackdawpier_fleet/src/fleet/executors.rs
+++ b/crates/jackdawpier_fleet/src/fleet/executors.rs
@@ -39,7 +39,7 @@
         if let Some(previous) = previous_service {
             self.remove_from_service(&previous, &id);
         }
-        self.machines.may_be_occupied |= is_new || is_back;
+        self.machines.has_unlisted_executors |= is_new || is_back;
         if is_new {
             let of_service = self.by_service.entry(service).or_default();
             if let Err(position) = of_service.binary_search(&id) {
--- a/crates/jackdawpier_fleet/src/fleet/gangs.rs
+++ b/crates/jackdawpier_fleet/src/fleet/gangs.rs
@@ -17,7 +17,8 @@
     /// Stops all running members of a gang. A gang can't make progress without one of its members.
     pub(super) fn stop_gang(&mut self, now: Now, id: &JobId, slot: usize) {
         let Some(job) = self.jobs.get(id) else { return };
-        let members: Vec<TaskRef> = job.tasks_of(slot).map(|index| (id.clone(), index)).collect();
+        let members: Vec<TaskRef> =
+            job.tasks_in_slot(slot).map(|index| (id.clone(), index)).collect();
         members.iter().for_each(|member| self.stop_task(now, member, StopReason::GangBroken));
     }
 
@@ -37,13 +38,13 @@
             return false;
         }
         let slot = job.slot(task_ref.1);
-        job.tasks_of(slot).any(|index| job.tasks[index].phase == Phase::Done)
+        job.tasks_in_slot(slot).any(|index| job.tasks[index].phase == Phase::Done)
     }
 
     /// Counts one failure per run for the whole gang.
     pub(super) fn record_gang_failure(&mut self, id: &JobId, slot: usize, run: RunNumber) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        for index in job.tasks_of(slot) {
+        for index in job.tasks_in_slot(slot) {
             job.tasks[index].note_failure(run);
         }
     }
@@ -57,7 +58,7 @@
         round: &PlacementRound,
     ) -> bool {
         let Some(job) = self.jobs.get(id) else { return false };
-        let members: Vec<TaskIndex> = job.tasks_of(slot).collect();
+        let members: Vec<TaskIndex> = job.tasks_in_slot(slot).collect();
         let is_ready = |task: &Task| task.phase == Phase::Waiting && !task.is_given_up;
         let all_ready = members.iter().all(|&index| is_ready(&job.tasks[index]));
         if !all_ready {
--- a/crates/jackdawpier_fleet/src/fleet/maintenance.rs
+++ b/crates/jackdawpier_fleet/src/fleet/maintenance.rs
@@ -55,7 +55,7 @@
             let is_registered = executor.is_listed && !executor.has_ended;
             is_registered && is_there && !self.machines.is_executor_listed(id)
         });
-        self.machines.may_be_occupied = !unlisted.is_empty();
+        self.machines.has_unlisted_executors = !unlisted.is_empty();
         self.end_operations(asked_at);
     }
 
--- a/crates/jackdawpier_fleet/src/fleet/runs.rs
+++ b/crates/jackdawpier_fleet/src/fleet/runs.rs
@@ -78,7 +78,7 @@
         if task.phase == Phase::Done {
             job.progress[slot].remaining -= 1;
             if is_gang {
-                job.finish_waiting(slot);
+                job.finish_waiting_tasks(slot);
             }
             if job.progress[slot].remaining == 0 {
                 job.open_steps(now, self.wall_ms);
--- a/crates/jackdawpier_fleet/src/fleet/vacating.rs
+++ b/crates/jackdawpier_fleet/src/fleet/vacating.rs
@@ -78,10 +78,10 @@
     pub(super) fn can_lose_machine(&self, now: Now, machine: &MachineId) -> bool {
         let info = self.machines.listed.get(machine);
         let executor = info.and_then(|info| info.executor.as_ref());
-        self.machines.knows_executor(machine)
+        self.machines.is_listing_current(machine)
             && executor.is_none_or(|id| self.can_lose_executor(now, id))
             && (executor.is_some_and(|id| self.is_running_executor(now, id))
-                || !self.machines.may_be_occupied)
+                || !self.machines.has_unlisted_executors)
     }
 
     /// Whether an executor has answered recently, which proves that it runs on its machine.
@@ -98,13 +98,13 @@
         }
         executor.tasks_per_slot.iter().all(|((job_id, slot), &here)| {
             let Some(job) = self.jobs.get(job_id) else { return true };
-            let first = job.tasks_of(*slot).start;
+            let first = job.tasks_in_slot(*slot).start;
             let step = job.step(first);
             if !step.is_long_running || job.is_over() || step.may_miss == 0 {
                 return true;
             }
             let away = job
-                .tasks_of(*slot)
+                .tasks_in_slot(*slot)
                 .filter(|&index| job.tasks[index].phase.executor() != Some(id))
                 .filter(|&index| !self.is_at_work(now, &job.tasks[index]))
                 .count() as u32;
@@ -115,7 +115,7 @@
     /// Returns the number of tasks of a step that aren't stably at work.
     pub(super) fn tasks_away(&self, now: Now, job: &Job, slot: usize) -> u32 {
         let is_away = |index: &TaskIndex| !self.is_at_work(now, &job.tasks[*index]);
-        job.tasks_of(slot).filter(is_away).count() as u32
+        job.tasks_in_slot(slot).filter(is_away).count() as u32
     }
 
     /// Like [`Self::tasks_away`], without one of the tasks.
@@ -263,7 +263,7 @@
         }
         executor.tasks_per_slot.iter().find_map(|((job_id, slot), &here)| {
             let job = self.jobs.get(job_id)?;
-            let indices = job.tasks_of(*slot);
+            let indices = job.tasks_in_slot(*slot);
             let step = job.step(indices.start);
             let is_bounded = step.is_long_running && step.may_miss > 0;
             if !is_bounded || !is_allowed(step, here) || job.is_over() {
--- a/crates/jackdawpier_fleet/src/job.rs
+++ b/crates/jackdawpier_fleet/src/job.rs
@@ -395,7 +395,7 @@
     }
 
     /// Returns all tasks of a slot, see [`Self::slot`].
-    pub(crate) fn tasks_of(&self, slot: usize) -> std::ops::Range<TaskIndex> {
+    pub(crate) fn tasks_in_slot(&self, slot: usize) -> std::ops::Range<TaskIndex> {
         let (occurrence, step) = (slot / self.spec.steps.len(), slot % self.spec.steps.len());
         let first = occurrence * self.tasks_per_occurrence + self.first_task_of_step[step];
         first..first + self.spec.steps[step].count as usize
@@ -447,7 +447,7 @@
                     let delay = Duration::from_millis(wall_ms.saturating_sub(due_ms));
                     self.began_at[occurrence] = now.saturating_sub(delay);
                 }
-                for index in self.tasks_of(slot) {
+                for index in self.tasks_in_slot(slot) {
                     if self.tasks[index].phase == Phase::Waiting {
                         self.enqueue(now, index);
                     }
@@ -497,8 +497,8 @@
     }
 
     /// Marks the waiting tasks of a gang as done, since the end of one member counts for all.
-    pub(crate) fn finish_waiting(&mut self, slot: usize) {
-        for index in self.tasks_of(slot) {
+    pub(crate) fn finish_waiting_tasks(&mut self, slot: usize) {
+        for index in self.tasks_in_slot(slot) {
             if self.tasks[index].phase == Phase::Waiting {
                 self.tasks[index].phase = Phase::Done;
                 self.progress[slot].remaining -= 1;
--- a/crates/jackdawpier_fleet/src/machines.rs
+++ b/crates/jackdawpier_fleet/src/machines.rs
@@ -184,7 +184,7 @@
     pub(crate) refused_moves: BTreeSet<(MachineId, PoolName)>,
     machine_of: SortedHashMap<ExecutorId, MachineId>,
     /// Set while the list doesn't name all executors: any machine that seems idle may run one of them.
-    pub(crate) may_be_occupied: bool,
+    pub(crate) has_unlisted_executors: bool,
     /// Machines whose executor ended after the last list, and which may run another one by now.
     outdated_listings: BTreeSet<MachineId>,
 }
@@ -202,7 +202,7 @@
             waves: BTreeMap::new(),
             refused_moves: BTreeSet::new(),
             machine_of: SortedHashMap::default(),
-            may_be_occupied: false,
+            has_unlisted_executors: false,
             outdated_listings: BTreeSet::new(),
         }
     }
@@ -213,7 +213,7 @@
     }
 
     /// Returns whether the last list is current about the executor on a machine.
-    pub(crate) fn knows_executor(&self, machine: &MachineId) -> bool {
+    pub(crate) fn is_listing_current(&self, machine: &MachineId) -> bool {
         !self.outdated_listings.contains(machine)
     }
 
--- a/crates/jackdawpier_fleet/tests/world/machines.rs
+++ b/crates/jackdawpier_fleet/tests/world/machines.rs
@@ -68,7 +68,7 @@
             .partition(|(at, ..)| *at <= now);
         self.machine_orders_in_flight = rest;
         for (_, fence, order) in due {
-            self.check_holder(&order.machine, fence);
+            self.check_machine_order_owner(&order.machine, fence);
             let end = self.apply_machine_order(&order);
             if fence == self.fence {
                 self.fleet.machine_order_ended(now, &order, end);
@@ -78,7 +78,7 @@
 
     /// Asserts that two owners don't order a machine within [`ORDER_LEASE`], and that no order arrives after one of
     /// a newer owner.
-    fn check_holder(&mut self, machine: &Arc<str>, fence: u64) {
+    fn check_machine_order_owner(&mut self, machine: &Arc<str>, fence: u64) {
         let now = self.now;
         let Some((at, last)) = self.last_machine_orders.insert(machine.clone(), (now, fence))
         else {
--- a/crates/jackdawpier_fleet/tests/world/mod.rs
+++ b/crates/jackdawpier_fleet/tests/world/mod.rs
@@ -487,7 +487,7 @@
     }
 
     /// Asserts that no task starts after its completion was acknowledged.
-    fn check_done(&mut self) {
+    fn check_no_start_after_done(&mut self) {
         for executor in self.executors.values_mut() {
             for (task, at) in executor.starts.drain(..) {
                 self.accounts.note_start(&task);
@@ -508,7 +508,7 @@
 
     /// Checks the invariants.
     fn check(&mut self) {
-        self.check_done();
+        self.check_no_start_after_done();
         self.crashes.check(&self.started);
         self.check_caps();
         let mut running: BTreeMap<&TaskKey, &Arc<str>> = BTreeMap::new();
