--- a/crates/jackdawpier_fleet/src/fleet/commits.rs
+++ b/crates/jackdawpier_fleet/src/fleet/commits.rs
@@ -15,8 +15,8 @@
     spec::{QueueName, TaskKey},
 };
 
-/// Maximum number of transaction rows per job, that of an ended and cancelled one: a condition, a value, and two
-/// removed keys.
+/// Maximum number of transaction rows per job, that of an ended and cancelled one: a condition, a
+/// value, and two removed keys.
 const MAX_ROWS_PER_JOB: usize = 4;
 
 /// A job whose end is durable, for the log.
@@ -119,9 +119,9 @@
             job.is_writing = false;
             job.revision = revision;
             job.durable_changes = written.changes;
-            let settled =
+            let acknowledgeable =
                 job.unacknowledged_ends.extract_if(.., |(needed, _)| *needed <= written.changes);
-            self.acknowledgeable.extend(settled.map(|(_, executor)| executor));
+            self.acknowledgeable.extend(acknowledgeable.map(|(_, executor)| executor));
             if let Some(outcome) = record.outcome {
                 let is_first_time = job.durable_outcome.replace(outcome).is_none();
                 if is_first_time {
--- a/crates/jackdawpier_fleet/src/fleet/crash_attribution.rs
+++ b/crates/jackdawpier_fleet/src/fleet/crash_attribution.rs
@@ -26,11 +26,11 @@
 /// Maximum age of an executor's last report for its runs to count as present at the crash: one long poll
 /// and its timeout. Runs may have ended unreported after that.
 const MAX_REPORT_AGE: Duration = Duration::from_millis(1500);
-/// An executor that is still in the list of machines this long after its last answer was partitioned: its runs may have
-/// ended unreported.
+/// An executor that is still in the list of machines this long after it stopped answering was partitioned:
+/// its runs may have ended unreported.
 const LISTED_AFTER_SILENCE: Duration = Duration::from_millis(300);
-/// Maximum gap between lists of machines. After a longer one the executor may have been partitioned, or its machine
-/// taken, before the loss was noticed.
+/// Maximum gap between lists of machines. After a longer one the executor may have been partitioned, or
+/// its machine taken, before the loss was noticed.
 const MAX_LISTING_GAP: Duration = Duration::from_secs(2);
 /// Maximum time between an executor's last answer and an order to it. An executor that was silent for
 /// longer may already have crashed when the order was sent.
@@ -343,8 +343,9 @@
     task.confirmed_at.map(|at| contact.last_answer.saturating_sub(at))
 }
 
-/// Returns the evidence of an executor's crash against a task; none if the run may not have begun at all. A crash that
-/// is uncertain, or an order that was sent when the executor was already silent, counts as having a likelier cause.
+/// Returns the evidence of an executor's crash against a task; none if the run may not have begun at
+/// all. A crash that is uncertain, or an order that was sent when the executor was already silent,
+/// counts as having a likelier cause.
 fn assess_crash(
     now: Now,
     task: &Task,
@@ -378,14 +379,15 @@
     Some(Crash { run: task.run, is_confirmed, is_at_start, run_time: bounds, ..Crash::default() })
 }
 
-/// Returns whether a run may have ended unreported before its executor crashed: the executor was listed after it had
-/// failed to answer, so it was partitioned, and the run was due to end by now.
+/// Returns whether a run may have ended unreported before its executor crashed: the executor was listed
+/// after it had failed to answer, so it was partitioned, and the run was due to end by now.
 fn may_have_ended_unreported(now: Now, task: &Task, step: &StepSpec, contact: LastContact) -> bool {
     let was_partitioned = contact.first_failure.is_some_and(|at| contact.last_listing > at);
     was_partitioned && !step.is_long_running && task.ordered_at + step.estimate <= now
 }
 
-/// Returns the bounds of a task's run time at the crash of its executor; none if this owner didn't order the run.
+/// Returns the bounds of a task's run time at the crash of its executor; none if this owner didn't
+/// order the run.
 fn run_time_bounds(now: Now, task: &Task, contact: LastContact) -> Option<RunTimeBounds> {
     let least = run_time(task, contact).filter(|_| task.ordered_at > Now::ZERO)?;
     let most = contact.first_failure.unwrap_or(now).saturating_sub(task.ordered_at);
@@ -393,8 +395,8 @@
 }
 
 impl LastContact {
-    /// Returns whether the executor's last report still held when it crashed: the executor answered shortly before
-    /// its first failure to answer, and hasn't been listed since.
+    /// Returns whether the executor's last report still held when it crashed: the executor answered
+    /// shortly before its first failure to answer, and hasn't been listed since.
     fn is_current_until_crash(&self, now: Now) -> bool {
         let silent_from = self.first_failure.unwrap_or(now);
         let was_listed_later = self.last_listing > silent_from + LISTED_AFTER_SILENCE;
--- a/crates/jackdawpier_fleet/src/fleet/crash_backoff.rs
+++ b/crates/jackdawpier_fleet/src/fleet/crash_backoff.rs
@@ -1,7 +1,7 @@
 //! Crash-loop back-off of long-running tasks.
 //!
-//! See `docs/design/lives.md`. A task isn't startable during its back-off, so no room is reserved and no machine is
-//! moved for it.
+//! See `docs/design/lives.md`. A task isn't startable during its back-off, so no room is reserved and
+//! no machine is moved for it.
 
 use std::time::Duration;
 
--- a/crates/jackdawpier_fleet/src/fleet/defragmentation.rs
+++ b/crates/jackdawpier_fleet/src/fleet/defragmentation.rs
@@ -1,9 +1,9 @@
 //! Defragments the room that long-running tasks leave.
 //!
-//! Long-running tasks may be spread so that no executor has enough room left for a waiting task, or too few have for its
-//! gang, though there is enough room in total, and no ending task will change that. If no machine is available either,
-//! some of the long-running tasks are relocated, each as its step allows, while the executors are reserved for the
-//! waiting task.
+//! Long-running tasks may be spread so that no executor has enough room left for a waiting task, or too
+//! few have for its gang, though there is enough room in total, and no ending task will change that. If
+//! no machine is available either, some of the long-running tasks are relocated, each as its step
+//! allows, while the executors are reserved for the waiting task.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -26,8 +26,8 @@
 
 /// Maximum time for which executors are reserved: about eight relocations in sequence.
 const MAX_DURATION: Duration = Duration::from_secs(15);
-/// Minimum time between two attempts for the same service. Tasks that end in between may free enough room, and each
-/// relocation interrupts a long-running task.
+/// Minimum time between two attempts for the same service. Tasks that end in between may free enough
+/// room, and each relocation interrupts a long-running task.
 const RETRY_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Executors that are being defragmented for one task, or its gang.
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Returns whether a task may be stopped for its relocation now. Without a `may_miss` a step's tasks are relocated
-    /// one at a time.
+    /// Returns whether a task may be stopped for its relocation now. Without a `may_miss` a step's
+    /// tasks are relocated one at a time.
     fn can_stop(&self, now: Now, (id, index): &TaskRef, from: &ExecutorId) -> bool {
         let job = &self.jobs[id];
         let may_miss = job.step(*index).may_miss.max(1);
--- a/crates/jackdawpier_fleet/src/fleet/defragmentation_plan.rs
+++ b/crates/jackdawpier_fleet/src/fleet/defragmentation_plan.rs
@@ -1,6 +1,7 @@
 //! Plans which long-running tasks to relocate so that a task, or its gang, finds room.
 //!
-//! The whole plan is made before the first relocation: a partial one would interrupt tasks without freeing enough room.
+//! The whole plan is made before the first relocation: a partial one would interrupt tasks without
+//! freeing enough room.
 
 use std::{cmp::Reverse, collections::BTreeSet};
 
@@ -17,7 +18,8 @@
     spec::Resources,
 };
 
-/// Maximum number of relocations for one waiting task. More would take longer than waiting for other tasks to end.
+/// Maximum number of relocations for one waiting task. More would take longer than waiting for other
+/// tasks to end.
 const MAX_RELOCATIONS: usize = 8;
 /// Maximum number of executors compared for the next relocations, those with the fewest tasks to move first.
 const MAX_CANDIDATES: usize = 16;
@@ -40,7 +42,8 @@
 /// A task with the resources that it occupies.
 type SizedTask = (Resources, TaskRef);
 
-/// An executor that may be defragmented, as it will be once its short tasks have ended and the planned relocations are done.
+/// An executor that may be defragmented, as it will be once its short tasks have ended and the planned
+/// relocations are done.
 #[derive(Debug)]
 struct Candidate {
     id: ExecutorId,
@@ -86,8 +89,8 @@
 }
 
 impl Fleet {
-    /// Plans the relocations that make room for a task, or its gang, on these executors; none if none are needed or
-    /// too many would be.
+    /// Plans the relocations that make room for a task, or its gang, on these executors; none if none
+    /// are needed or too many would be.
     pub(super) fn plan_defragmentation(
         &self,
         now: Now,
@@ -138,8 +141,8 @@
         })
     }
 
-    /// Returns whether a task may be relocated: it is a running long-running task without a gang, data rack, placement
-    /// advice or suspicion.
+    /// Returns whether a task may be relocated: it is a running long-running task without a gang, data
+    /// rack, placement advice or suspicion.
     fn may_relocate(&self, (id, index): &TaskRef) -> bool {
         let Some(job) = self.jobs.get(id).filter(|job| !job.is_over()) else { return false };
         let step = job.step(*index);
@@ -152,7 +155,8 @@
             && matches!(job.tasks[*index].phase, Phase::Running { .. })
     }
 
-    /// Returns the relocations from one executor that make room for most waiting tasks, then those of the fewest tasks.
+    /// Returns the relocations from one executor that make room for most waiting tasks, then those of
+    /// the fewest tasks.
     fn next_relocations(
         &self,
         candidates: &[Candidate],
@@ -179,8 +183,8 @@
         best.map(|(.., relocations)| relocations)
     }
 
-    /// Chooses the new executors of some tasks. Returns the relocations, and how many waiting tasks no longer fit on
-    /// those executors.
+    /// Chooses the new executors of some tasks. Returns the relocations, and how many waiting tasks no
+    /// longer fit on those executors.
     fn plan_moves(
         &self,
         from: &Candidate,
--- a/crates/jackdawpier_fleet/src/fleet/losses.rs
+++ b/crates/jackdawpier_fleet/src/fleet/losses.rs
@@ -21,8 +21,8 @@
     Unlisted,
     /// Its machine was moved or taken for maintenance.
     Taken,
-    /// It isn't in the list of machines, and an order for its machine had been sent: either the machine was taken or the
-    /// executor has crashed.
+    /// It isn't in the list of machines, and an order for its machine had been sent: either the machine
+    /// was taken or the executor has crashed.
     PerhapsTaken,
     /// It has restarted under the same id.
     Restarted,
@@ -70,8 +70,8 @@
         let Some(executor) = self.executors.get(id) else { return };
         let contact = executor.last_contact();
         let is_lapsed = evidence == LossEvidence::Lapsed;
-        // The loss is reported repeatedly: the registry still has the executor for seconds, and each list of machines
-        // shows again that it is missing.
+        // The loss is reported repeatedly: the registry still has the executor for seconds, and each
+        // list of machines shows again that it is missing.
         let is_first_notice = !executor.has_ended;
         let ordered_at = self.machines.ordered_at(id);
         let crash = executor.crash_likelihood(now, evidence, ordered_at);
@@ -125,8 +125,8 @@
 }
 
 impl Executor {
-    /// Returns how likely a lost executor has crashed, rather than been taken with its machine, drained, or partitioned.
-    /// `ordered_at` is when an order for its machine was sent.
+    /// Returns how likely a lost executor has crashed, rather than been taken with its machine,
+    /// drained, or partitioned. `ordered_at` is when an order for its machine was sent.
     fn crash_likelihood(
         &self,
         now: Now,
--- a/crates/jackdawpier_fleet/tests/crashing_tasks.rs
+++ b/crates/jackdawpier_fleet/tests/crashing_tasks.rs
@@ -1,11 +1,12 @@
 //! Guards against endless restarts of a task that crashes every executor that starts it.
 //!
-//! A crashed executor reports no failure, so a count of reported failures never stops such a task. Without the
-//! attribution of crashes to tasks, one was at its 89th run after two minutes, the pool lost ten executors a second,
-//! and three in four of its short jobs failed. Each executor fell silent some 20 ms after it had confirmed the start.
+//! A crashed executor reports no failure, so a count of reported failures never stops such a task.
+//! Without the attribution of crashes to tasks, one was at its 89th run after two minutes, the pool
+//! lost ten executors a second, and three in four of its short jobs failed. Each executor fell silent
+//! some 20 ms after it had confirmed the start.
 //!
-//! After every step the world checks that such a task has fewer than three further starts once three executors have
-//! crashed during its runs.
+//! After every step the world checks that such a task has fewer than three further starts once three
+//! executors have crashed during its runs.
 
 mod world;
 
@@ -105,8 +106,8 @@
     }
 }
 
-/// Guards against a crash that counts against a task which was only ordered to the executor after the executor had
-/// fallen silent during the isolated start of another task.
+/// Guards against a crash that counts against a task which was only ordered to the executor after the
+/// executor had fallen silent during the isolated start of another task.
 #[test]
 fn isolation_unanswered() {
     let mut world = World::new(&["view"], 1);
@@ -125,8 +126,9 @@
     assert_eq!(starts.count(), 2, "one run is lost in the unattributed crash, and one completes");
 }
 
-/// Guards against a crash that counts as certain against a run that had ended before. The run ends on a partitioned
-/// executor under an owner without a list of machines, and the executor crashes later; the next crash failed the job.
+/// Guards against a crash that counts as certain against a run that had ended before. The run ends on a
+/// partitioned executor under an owner without a list of machines, and the executor crashes later; the
+/// next crash failed the job.
 #[test]
 fn end_before_listing() {
     let mut world = World::new(&["view"], 1);
--- a/crates/jackdawpier_fleet/tests/incarnations.rs
+++ b/crates/jackdawpier_fleet/tests/incarnations.rs
@@ -30,7 +30,8 @@
     assert_eq!(outcome, Some(JobOutcome::Completed));
 }
 
-/// An executor restarts without being missing from any list of machines: its lost runs are started elsewhere at once.
+/// An executor restarts without being missing from any list of machines: its lost runs are started
+/// elsewhere at once.
 #[test]
 fn restart_unlisted() {
     let mut world = world_with_kept_ids(2);
@@ -84,7 +85,8 @@
     assert_eq!(world.crashes.max_crashes_of("bad"), 2);
 }
 
-/// The next owner assumes a lease of the usual length, also on an executor that has restarted under the same id.
+/// The next owner assumes a lease of the usual length, also on an executor that has restarted under the
+/// same id.
 #[test]
 fn lease_after_restart() {
     let mut world = world_with_kept_ids(2);
--- a/crates/jackdawpier_fleet/tests/label_shares.rs
+++ b/crates/jackdawpier_fleet/tests/label_shares.rs
@@ -28,7 +28,8 @@
     job(vec![StepSpec { required_label: Some(LABEL.into()), ..step(tasks, 4, 500) }])
 }
 
-/// Returns a world in which the labelled machines are busy with a backlog of `report` when `view` needs them too.
+/// Returns a world in which the labelled machines are busy with a backlog of `report` when `view` needs
+/// them too.
 fn world_with_competition(machines: &[&str], tasks: u32) -> World {
     let mut world = world_with_labelled(machines);
     submit_competing_jobs(&mut world, tasks);
--- a/crates/jackdawpier_fleet/tests/long_running_neighbours.rs
+++ b/crates/jackdawpier_fleet/tests/long_running_neighbours.rs
@@ -1,8 +1,9 @@
 //! Guards against giving up a long-running task for crashes that its neighbours caused.
 //!
-//! A long-running task never ends, so it is present at every crash of its executor. When only ten seconds of run time
-//! cleared it, no executor stayed up that long where crashing tasks were submitted every few seconds. The job failed with
-//! the third crash, and its healthy tasks, which had been at work for seconds, were stopped together.
+//! A long-running task never ends, so it is present at every crash of its executor. When only ten
+//! seconds of run time cleared it, no executor stayed up that long where crashing tasks were submitted
+//! every few seconds. The job failed with the third crash, and its healthy tasks, which had been at
+//! work for seconds, were stopped together.
 //!
 //! At every order that stops a task at work the world checks that the task's step can miss it.
 
@@ -17,8 +18,8 @@
     StepSpec { is_long_running: true, may_miss: 1, max_per_executor: 1, ..step(count, cores, 0) }
 }
 
-/// Submits other jobs at a steady rate; one of every `crashing_every` has a task that crashes its executor. Returns the
-/// healthy ones.
+/// Submits other jobs at a steady rate; one of every `crashing_every` has a task that crashes its
+/// executor. Returns the healthy ones.
 fn submit_neighbours(world: &mut World, rounds: usize, crashing_every: usize) -> Vec<String> {
     let mut healthy = Vec::new();
     for round in 0..rounds {
@@ -34,8 +35,8 @@
     healthy
 }
 
-/// Asserts that, once the neighbours are over, all tasks of the long-running job are at work and the job is shown as
-/// running.
+/// Asserts that, once the neighbours are over, all tasks of the long-running job are at work and the
+/// job is shown as running.
 fn assert_all_at_work(world: &mut World, id: &str, tasks: usize) {
     assert_eq!(world.fleet.view(id), Some(JobView::Running));
     let others: Vec<_> =
@@ -104,8 +105,8 @@
     assert_eq!(world.at_work_of("lasting"), 1);
 }
 
-/// Guards against endless retries of a task that crashes its executors a while after its starts. The world checks the
-/// starts after the third crash.
+/// Guards against endless retries of a task that crashes its executors a while after its starts. The
+/// world checks the starts after the third crash.
 #[test]
 fn bounded_retries() {
     let mut world = World::new(&["view"], 6);
@@ -134,7 +135,8 @@
     assert_eq!(outcome, Some(JobOutcome::Cancelled));
 }
 
-/// Healthy jobs aren't given up in a pool where an executor crashes every second, though each loses a run now and then.
+/// Healthy jobs aren't given up in a pool where an executor crashes every second, though each loses a
+/// run now and then.
 #[test]
 fn unaffected_jobs() {
     let mut world = World::new(&["view"], 6);
--- a/crates/jackdawpier_fleet/tests/lost_executors.rs
+++ b/crates/jackdawpier_fleet/tests/lost_executors.rs
@@ -68,8 +68,8 @@
     assert!(world.executors[&partitioned].has_ends());
 }
 
-/// The owner gets no answers from an executor for longer than its lease, but the executor stays registered and in
-/// the list of machines: a task that has ended there isn't started again.
+/// The owner gets no answers from an executor for longer than its lease, but the executor stays
+/// registered and in the list of machines: a task that has ended there isn't started again.
 #[test]
 fn unheard_executor() {
     let mut world = World::new(&["view"], 2);
@@ -89,8 +89,8 @@
     assert_eq!(starts.count(), 1);
 }
 
-/// A crashed executor is missing from the list of machines, so its tasks are started again before its lease or a
-/// new owner's takeover uncertainty ends.
+/// A crashed executor is missing from the list of machines, so its tasks are started again before its
+/// lease or a new owner's takeover uncertainty ends.
 #[test]
 fn unlisted_executor() {
     let mut world = World::new(&["view"], 2);
@@ -119,7 +119,8 @@
     job(vec![long_running])
 }
 
-/// The registry entry of a running executor becomes unreadable: its tasks finish there and aren't started again.
+/// The registry entry of a running executor becomes unreadable: its tasks finish there and aren't
+/// started again.
 #[test]
 fn unreadable_registration() {
     let mut world = World::new(&["view"], 2);
--- a/crates/jackdawpier_fleet/tests/probation.rs
+++ b/crates/jackdawpier_fleet/tests/probation.rs
@@ -1,7 +1,7 @@
-//! Checks that a healthy long-running task doesn't stay in back-off for crashes that it was merely present at: it is cleared
-//! once it has been observed for long enough, starts on probation where a crash can only be its own, and is retried while no
-//! unattributed crashes occur. The histories `lasting_returns` fail without this, see
-//! `docs/incidents/held-back-for-good.md`.
+//! Checks that a healthy long-running task doesn't stay in back-off for crashes that it was merely
+//! present at: it is cleared once it has been observed for long enough, starts on probation where a
+//! crash can only be its own, and is retried while no unattributed crashes occur. The histories
+//! `lasting_returns` fail without this, see `docs/incidents/held-back-for-good.md`.
 
 mod world;
 
@@ -31,7 +31,8 @@
     world.crash(&machine, Some(Duration::from_secs(2)));
 }
 
-/// Returns a world with a long-running task in back-off that has so many crashes that it is only started on probation.
+/// Returns a world with a long-running task in back-off that has so many crashes that it is only
+/// started on probation.
 fn world_in_backoff(executors: usize) -> World {
     let mut world = world_with_long_running(executors);
     (0..3).for_each(|_| crash_after(&mut world, Duration::from_millis(700)));
@@ -55,8 +56,8 @@
     assert_eq!(world.at_work_of("lasting"), 1);
 }
 
-/// Guards against a suspect that starts beside a task which has run only briefly: the task crashed the executor a second
-/// later.
+/// Guards against a suspect that starts beside a task which has run only briefly: the task crashed the
+/// executor a second later.
 #[test]
 fn neighbours_proven() {
     let mut world = World::new(&["view"], 2);
--- a/crates/jackdawpier_fleet/tests/reported_ends.rs
+++ b/crates/jackdawpier_fleet/tests/reported_ends.rs
@@ -1,5 +1,5 @@
-//! Checks how the simulated world counts a crash at the moment a run ends: it counts against the task only if the end can't
-//! have been reported to the owner before.
+//! Checks how the simulated world counts a crash at the moment a run ends: it counts against the task
+//! only if the end can't have been reported to the owner before.
 
 mod world;
 
--- a/crates/jackdawpier_fleet/tests/world/long_running.rs
+++ b/crates/jackdawpier_fleet/tests/world/long_running.rs
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Checks an order that stops a task: if the task is at work, fewer others of its step may be away than the step may
-    /// miss.
+    /// Checks an order that stops a task: if the task is at work, fewer others of its step may be away
+    /// than the step may miss.
     pub(super) fn check_may_miss(&mut self, executor: &str, task: &TaskKey) {
         let step = self.submissions[&task.job].spec.steps[task.step as usize].clone();
         let is_bounded = step.is_long_running && step.may_miss > 0;
