--- a/crates/jackdawpier_fleet/src/executor.rs
+++ b/crates/jackdawpier_fleet/src/executor.rs
@@ -183,6 +183,7 @@
     /// Set when a task that completed here has been started again elsewhere: that end, and so all ends after
     /// it, must not be acknowledged. The executor gets no work until its incarnation ends.
     pub(crate) is_frozen: bool,
+    /// Sequence number of the last end that was processed.
     pub(crate) last_processed_end: u64,
     /// Isolated start in progress; nothing else starts on the executor meanwhile.
     pub(crate) isolated_start: Option<IsolatedStart>,
@@ -253,6 +254,7 @@
         self.info.as_ref().map(|info| info.service.clone())
     }
 
+    /// Returns whether an isolated start is in progress.
     pub(crate) fn is_isolating(&self, now: Now) -> bool {
         self.isolated_start
             .as_ref()
@@ -282,6 +284,7 @@
         }
     }
 
+    /// Returns the unallocated resources.
     pub(crate) fn free(&self) -> Resources {
         self.info.as_ref().map_or(Resources::default(), |info| info.capacity.minus(&self.allocated))
     }
@@ -312,13 +315,13 @@
         &mut self,
         now: Now,
         executor_clock: Duration,
-        usual_lease: Duration,
+        default_lease: Duration,
         longest_lease: Duration,
     ) {
         self.answered_at = now;
         self.failed_at = None;
         let first_lease =
-            if self.previous_incarnations.is_empty() { usual_lease } else { longest_lease };
+            if self.previous_incarnations.is_empty() { default_lease } else { longest_lease };
         self.lease_until.get_or_insert(executor_clock + first_lease);
         // Answers may arrive out of order; older clock readings are ignored.
         if self.clock.is_none_or(|last| last.executor_clock <= executor_clock) {
@@ -326,6 +329,7 @@
         }
     }
 
+    /// Returns when the last clock reading of the executor was received.
     pub(crate) fn clock_read_at(&self) -> Option<Now> {
         self.clock.map(|reading| reading.at)
     }
@@ -334,11 +338,10 @@
     /// order may be executed even if its answer is lost.
     pub(crate) fn grant_lease(&mut self, now: Now, lease: Duration) -> Option<Duration> {
         let reading = self.clock?;
-        let silent_for = now.saturating_sub(reading.at);
-        let raised_by =
-            if silent_for > LEASE_RAISE_SILENCE_LIMIT { Duration::ZERO } else { silent_for };
+        let silence = now.saturating_sub(reading.at);
+        let extension = if silence > LEASE_RAISE_SILENCE_LIMIT { Duration::ZERO } else { silence };
         // A longer lease of a previous owner isn't granted again: the next owner relies on the usual length.
-        let until = reading.executor_clock + raised_by + lease;
+        let until = reading.executor_clock + extension + lease;
         self.granted_until = self.granted_until.max(Some(until));
         self.lease_until = self.lease_until.max(self.granted_until);
         self.granted_until
@@ -355,6 +358,7 @@
             && (self.is_synced || now >= self.uncertain_until)
     }
 
+    /// Records an end that may be acknowledged once `needed_changes` of its job are durable.
     pub(crate) fn note_end(&mut self, sequence: u64, job: JobId, needed_changes: u64) {
         if self.is_frozen {
             return;
--- a/crates/jackdawpier_fleet/tests/histories.rs
+++ b/crates/jackdawpier_fleet/tests/histories.rs
@@ -20,7 +20,7 @@
 const HISTORIES: u64 = 60;
 const EVENTS: usize = 40;
 /// Ratio of the jobs with a task that crashes its executors.
-const CRASHING_JOB_RATIO: f64 = 0.3;
+const CRASHING_RATIO: f64 = 0.3;
 /// Maximum number of long-running jobs in a history.
 const MAX_LONG_RUNNING_JOBS: usize = 4;
 /// Time within which long-running tasks are at work again once all faults have ended.
@@ -65,7 +65,7 @@
 /// Seeds in which a cause was started again minutes later.
 const CAUSE_RESTARTED_LATER: [u64; 3] = [21, 30, 81];
 /// Longer than any crash back-off.
-const AFTER_ALL_BACKOFFS: Duration = Duration::from_secs(700);
+const ALL_BACKOFFS: Duration = Duration::from_secs(700);
 /// Seeds in which a job was given up after a single crash, without long-running jobs ...
 const GIVEN_UP_AFTER_ONE_CRASH: [u64; 8] =
     [319, 864, 1800, 9270, 50_355, 106_001, 106_567, 107_556];
@@ -238,7 +238,7 @@
 
 /// Runs the histories of these seeds with tasks that crash their executors.
 fn run_histories(seeds: &[u64], kind: Kind) {
-    seeds.iter().for_each(|seed| run_history_with(*seed, CRASHING_JOB_RATIO, kind));
+    seeds.iter().for_each(|seed| run_history_with(*seed, CRASHING_RATIO, kind));
 }
 
 /// Runs a history in which this ratio of the jobs has a task that crashes its executors.
@@ -335,10 +335,10 @@
     PAST_FAILURES.iter().for_each(|(seed, _)| run_history(*seed));
     PAST_CRASHING_FAILURES
         .iter()
-        .for_each(|(seed, _)| run_history_with(*seed, CRASHING_JOB_RATIO, Kind::Plain));
+        .for_each(|(seed, _)| run_history_with(*seed, CRASHING_RATIO, Kind::Plain));
     PAST_LONG_RUNNING_FAILURES
         .iter()
-        .for_each(|(seed, _)| run_history_with(*seed, CRASHING_JOB_RATIO, Kind::LongRunning));
+        .for_each(|(seed, _)| run_history_with(*seed, CRASHING_RATIO, Kind::LongRunning));
 }
 
 /// Guards against a long-running task that isn't the cause of crashes staying in back-off.
@@ -352,10 +352,8 @@
 fn cause_restarted() {
     run_histories(&CAUSE_RESTARTED_LONG_RUNNING, Kind::LongRunning);
     run_histories(&CAUSE_RESTARTED, Kind::Plain);
-    let run_on = |seed: &u64| {
-        run_history_until(*seed, CRASHING_JOB_RATIO, Kind::Returning, AFTER_ALL_BACKOFFS)
-    };
-    CAUSE_RESTARTED_LATER.iter().for_each(run_on);
+    let run = |seed: &u64| run_history_until(*seed, CRASHING_RATIO, Kind::Returning, ALL_BACKOFFS);
+    CAUSE_RESTARTED_LATER.iter().for_each(run);
 }
 
 /// Guards against a job failing after a single crash of its executor.
@@ -508,7 +506,7 @@
 fn crashing_histories() {
     for seed in seeds() {
         println!("seed {seed}");
-        run_history_with(seed, CRASHING_JOB_RATIO, Kind::Plain);
+        run_history_with(seed, CRASHING_RATIO, Kind::Plain);
     }
 }
 
@@ -527,7 +525,7 @@
 fn lasting_histories() {
     for seed in seeds() {
         println!("seed {seed}");
-        run_history_with(seed, CRASHING_JOB_RATIO, Kind::LongRunning);
+        run_history_with(seed, CRASHING_RATIO, Kind::LongRunning);
     }
 }
 
@@ -536,6 +534,6 @@
 fn lasting_returns() {
     for seed in seeds() {
         println!("seed {seed}");
-        run_history_with(seed, CRASHING_JOB_RATIO, Kind::Returning);
+        run_history_with(seed, CRASHING_RATIO, Kind::Returning);
     }
 }
