--- a/crates/jackdawpier_entry/src/acceptance.rs
+++ b/crates/jackdawpier_entry/src/acceptance.rs
@@ -25,7 +25,7 @@
 
 use crate::{
     clock, keys,
-    ports::{CallError, CallResult, Item, Platform, Transaction, TransactionEnd},
+    ports::{CallError, CallResult, Item, Platform, Transaction, TransactionOutcome},
 };
 
 /// Jobs in one transaction: two conditions and a value each, of the 32 rows that it may have.
@@ -242,11 +242,11 @@
         let (write_end, end) = commit(platform, &batch).await;
         intake.write_ended(number, write_end);
         match end {
-            Ok(TransactionEnd::Committed(_)) => {
+            Ok(TransactionOutcome::Committed(_)) => {
                 answer_all(batch, Acceptance::Accepted);
                 return;
             }
-            Ok(TransactionEnd::Conflict(items)) => {
+            Ok(TransactionOutcome::Conflict(items)) => {
                 let is_held = |entry: &Entry| held_item(entry, &items).is_some();
                 let (held, rest): (Vec<_>, Vec<_>) = batch.into_iter().partition(is_held);
                 let is_own = |entry: &Entry| belongs_to(entry, &items);
@@ -304,7 +304,7 @@
 async fn commit<P: Platform>(
     platform: &P,
     batch: &[Entry],
-) -> (WriteEnd, CallResult<TransactionEnd>) {
+) -> (WriteEnd, CallResult<TransactionOutcome>) {
     let patience = batch.iter().map(|entry| entry.deadline).max().unwrap_or_default();
     let patience = patience.saturating_sub(clock::now());
     match timeout(patience, platform.commit(&transaction(batch))).await {
--- a/crates/jackdawpier_entry/src/callers.rs
+++ b/crates/jackdawpier_entry/src/callers.rs
@@ -32,9 +32,9 @@
     http_server::Reply,
     keys,
     metrics::Latency,
-    owner::OwnerCell,
-    pending::Pending,
-    ports::{CallError, CallerLimits, Item, Platform, Route, Transaction, TransactionEnd},
+    owner::FleetHandle,
+    pending::PendingCounter,
+    ports::{CallError, CallerLimits, Item, Platform, Route, Transaction, TransactionOutcome},
     question::Question,
 };
 
@@ -64,9 +64,9 @@
     /// Where jobs are handed in.
     pub intake: Intake,
     /// The fleet, while this entry owns it.
-    pub owner: OwnerCell,
+    pub owner: FleetHandle,
     /// Counts of jobs that haven't begun.
-    pub pending: Pending,
+    pub pending: PendingCounter,
     /// Log lines.
     pub events: Events,
 }
@@ -148,7 +148,7 @@
                 Access::Unproved => {
                     // One from between the request's arrival and now may be too old already.
                     let patience = give_up_at.saturating_sub(now);
-                    if !self.active.prove_since(now, patience).await {
+                    if !self.active.wait_for_proof_since(now, patience).await {
                         return Err(self.refuse(id, "the key can't be checked now"));
                     }
                 }
@@ -189,7 +189,9 @@
         };
         let spec = match self.platform.read_job(&body) {
             Ok(spec) => spec,
-            Err(error) => return self.problem(&id, StatusCode::BAD_REQUEST, &error.to_string()),
+            Err(error) => {
+                return self.problem(&id, StatusCode::BAD_REQUEST, &error.to_string());
+            }
         };
         let queue = route.queue.name.clone();
         let settings = Some(route.queue.clone());
@@ -240,7 +242,7 @@
         deadline: Now,
         mut question: Question,
     ) -> Reply {
-        let reply = match self.owner.job(id) {
+        let reply = match self.owner.job_with_account(id) {
             Some(known) => {
                 let (view, owner) = self.with_end(id, known, &mut question).await;
                 self.show(id, view, owner.as_ref(), account)
@@ -294,7 +296,7 @@
         if is_foreign(owner, account) {
             return self.foreign(id);
         }
-        reply(StatusCode::OK, self.platform.job_view(view))
+        reply(StatusCode::OK, self.platform.encode_job_view(view))
     }
 
     /// Reads on from `step`, and notes how far it has come: a reading that is refused is repeated alone.
@@ -378,11 +380,11 @@
             removes: Vec::new(),
         };
         match self.platform.commit(&transaction).await? {
-            TransactionEnd::Committed(_) => Ok(Cancellation::Durable),
-            TransactionEnd::Conflict(items) if items.iter().any(|item| item.key == key) => {
+            TransactionOutcome::Committed(_) => Ok(Cancellation::Durable),
+            TransactionOutcome::Conflict(items) if items.iter().any(|item| item.key == key) => {
                 Ok(Cancellation::Durable)
             }
-            TransactionEnd::Conflict(_) => self.cancel_ended(id, account).await,
+            TransactionOutcome::Conflict(_) => self.cancel_ended(id, account).await,
         }
     }
 
@@ -401,11 +403,11 @@
     }
 
     async fn pending(&self, queue: &QueueName) -> Reply {
-        if let Some(count) = self.owner.pending(queue) {
-            return reply(StatusCode::OK, self.platform.pending(count));
+        if let Some(count) = self.owner.pending_count(queue) {
+            return reply(StatusCode::OK, self.platform.encode_pending_count(count));
         }
         match self.pending.count(&self.platform, queue).await {
-            Ok(count) => reply(StatusCode::OK, self.platform.pending(count)),
+            Ok(count) => reply(StatusCode::OK, self.platform.encode_pending_count(count)),
             Err(_) => self.refuse(queue, "how many jobs wait can't be said now"),
         }
     }
@@ -428,7 +430,7 @@
     fn problem(&self, id: &str, status: StatusCode, why: &str) -> Reply {
         let fields = json!({ "job": id, "status": status.as_u16(), "why": why });
         self.events.emit("answered", fields);
-        reply(status, self.platform.problem(why))
+        reply(status, self.platform.encode_error(why))
     }
 }
 
--- a/crates/jackdawpier_entry/src/configuration.rs
+++ b/crates/jackdawpier_entry/src/configuration.rs
@@ -199,11 +199,11 @@
             Ok(reached) => position = Some(reached),
             Err(error) => {
                 position = after_failure(position, &error);
-                if was_in_touch && error != CallError::HistoryGone {
+                if was_in_touch && error != CallError::HistoryCompacted {
                     let fields = json!({ "for": "configuration", "why": error.to_string() });
                     events.emit("store_missed", fields);
                 }
-                if error != CallError::HistoryGone {
+                if error != CallError::HistoryCompacted {
                     tokio::time::sleep(REPEAT_PAUSE).await;
                 }
             }
@@ -223,7 +223,7 @@
 /// Where to go on after a step has failed: a watch that failed is followed by a check, a check by a reading.
 fn after_failure(position: Option<Position>, error: &CallError) -> Option<Position> {
     let was_watching = position.filter(Position::is_checked);
-    let is_known = *error != CallError::HistoryGone;
+    let is_known = *error != CallError::HistoryCompacted;
     was_watching.filter(|_| is_known).map(|position| Position { checked_at: None, ..position })
 }
 
@@ -237,7 +237,7 @@
     let asked_at = clock::now();
     let proved_at = active.proof().asked_at.filter(|at| clock::since(*at) < PROVED_LATELY);
     if proved_at.is_none() {
-        freshness::ask_for_change(platform, active, events).await?;
+        freshness::check_for_change(platform, active, events).await?;
     }
     let revision = from.revision.max(active.revision());
     Ok(Position { revision, checked_at: Some(proved_at.unwrap_or(asked_at)) })
--- a/crates/jackdawpier_entry/src/freshness.rs
+++ b/crates/jackdawpier_entry/src/freshness.rs
@@ -16,7 +16,7 @@
     clock,
     configuration::{Active, take_item},
     events::Events,
-    ports::{CallError, CallResult, Item, Platform, Transaction, TransactionEnd},
+    ports::{CallError, CallResult, Item, Platform, Transaction, TransactionOutcome},
     shared_proof::{self, Reading, SharedProof},
 };
 
@@ -41,7 +41,7 @@
 const HELD_BACK_PAUSE: Duration = Duration::from_millis(400);
 
 /// Proves the configuration for as long as the process lives, where keys are asked for.
-pub async fn prove<P: Platform>(platform: P, active: Active, events: Events) {
+pub async fn prove_configuration<P: Platform>(platform: P, active: Active, events: Events) {
     let mut was_proved = true;
     let mut prover = Prover::new(platform, active.clone(), events.clone());
     loop {
@@ -87,7 +87,7 @@
 }
 
 /// Asks once whether the configuration has changed, and takes a newer one over.
-pub(crate) async fn ask_for_change<P: Platform>(
+pub(crate) async fn check_for_change<P: Platform>(
     platform: &P,
     active: &Active,
     events: &Events,
@@ -98,7 +98,7 @@
     let nothing = Transaction { expect, ..Transaction::default() };
     let end = platform.commit(&nothing).await?;
     active.heard(asked_at);
-    if let TransactionEnd::Conflict(items) = end {
+    if let TransactionOutcome::Conflict(items) = end {
         let Some(newest) = items.into_iter().find(|item| item.key == key) else { return Ok(()) };
         take_item(platform, active, events, &newest);
         if newest.revision != active.revision() {
@@ -173,7 +173,7 @@
             }
             tokio::time::sleep(HELD_BACK_PAUSE).await;
         }
-        let is_own = self.shared.is_own();
+        let is_own = self.shared.is_last_writer();
         let reading = self.look().await?;
         if self.is_behind_for_long() && !self.active.is_receiving() && !self.has_read_lately() {
             return self.read().await;
@@ -205,10 +205,10 @@
     /// Reads the note and takes in what it shows.
     async fn look(&mut self) -> CallResult<Reading> {
         let asked_at = clock::now();
-        let item = shared_proof::get(&self.platform).await?;
+        let item = shared_proof::read_note(&self.platform).await?;
         self.active.heard(asked_at);
-        let reading = self.shared.read(asked_at, item.as_ref());
-        if let Reading::Stood { document, at } = reading {
+        let reading = self.shared.on_read(asked_at, item.as_ref());
+        if let Reading::Confirmed { document, at } = reading {
             self.told = self.told.max(document);
             if document == self.active.revision() {
                 self.active.proved(at);
@@ -222,16 +222,16 @@
     async fn write(&mut self) -> CallResult<()> {
         let asked_at = clock::now();
         let document = self.active.revision();
-        match shared_proof::put(&self.platform, document).await {
-            Ok(TransactionEnd::Committed(revision)) => {
-                self.shared.wrote(asked_at, revision);
+        match shared_proof::write_note(&self.platform, document).await {
+            Ok(TransactionOutcome::Committed(revision)) => {
+                self.shared.on_written(asked_at, revision);
                 self.told = self.told.max(document);
                 self.active.heard(asked_at);
                 self.active.proved(asked_at);
                 self.next = Next::Look;
                 Ok(())
             }
-            Ok(TransactionEnd::Conflict(items)) => {
+            Ok(TransactionOutcome::Conflict(items)) => {
                 let key = self.platform.configuration_key();
                 let newest = items.into_iter().find(|item| item.key == key);
                 self.take(asked_at, newest.as_ref());
@@ -295,7 +295,7 @@
 impl Active {
     /// Waits until the store has been asked after `since`, for `patience` at most, and returns whether
     /// it was and answered.
-    pub async fn prove_since(&self, since: Now, patience: Duration) -> bool {
+    pub async fn wait_for_proof_since(&self, since: Now, patience: Duration) -> bool {
         let is_since = || self.proof().asked_at.is_some_and(|asked_at| asked_at >= since);
         let waiting = async {
             while !is_since() {
--- a/crates/jackdawpier_entry/src/silence.rs
+++ b/crates/jackdawpier_entry/src/listing_schedule.rs
@@ -17,7 +17,7 @@
 
 /// What is known of one watch.
 #[derive(Debug, Clone)]
-pub struct Silence {
+pub struct ListingSchedule {
     /// Longest time between two listings, whatever the watch hears.
     longest: Duration,
     mean_gap: Option<Duration>,
@@ -27,14 +27,14 @@
     patience: u32,
 }
 
-impl Silence {
+impl ListingSchedule {
     /// A watch that begins now, with a listing at least every `longest`.
     pub fn new(now: Now, longest: Duration) -> Self {
         Self { longest, mean_gap: None, heard_at: now, listed_at: now, patience: 1 }
     }
 
     /// The watch has told of some changes.
-    pub fn heard(&mut self, now: Now, changes: usize) {
+    pub fn on_changes(&mut self, now: Now, changes: usize) {
         let Ok(changes @ 1..) = u32::try_from(changes) else { return };
         let gap = now.saturating_sub(self.heard_at) / changes;
         let mean = self
@@ -46,19 +46,19 @@
     }
 
     /// A listing has found that many changes that the watch hadn't told.
-    pub fn listed(&mut self, now: Now, found: usize) {
+    pub fn on_listed(&mut self, now: Now, found: usize) {
         self.listed_at = now;
         // A watch that misses changes goes on missing them for a while.
         self.patience = if found > 0 { 1 } else { self.patience.saturating_mul(2) };
     }
 
     /// Changes the longest time between two listings, for what has become longer to list.
-    pub fn set_longest(&mut self, longest: Duration) {
+    pub fn set_max_interval(&mut self, longest: Duration) {
         self.longest = longest;
     }
 
     /// How long to wait until the next listing.
-    pub fn wait(&self, now: Now) -> Duration {
+    pub fn time_until_listing(&self, now: Now) -> Duration {
         let suspicious = self.mean_gap.map_or(self.longest, |mean| {
             (mean * SUSPICIOUS_GAPS).max(SHORTEST).saturating_mul(self.patience)
         });
--- a/crates/jackdawpier_entry/src/owner.rs
+++ b/crates/jackdawpier_entry/src/owner.rs
@@ -33,10 +33,10 @@
     clock,
     configuration::Active,
     events::Events,
+    listing_schedule::ListingSchedule,
     ownership::{self, Candidate, Term},
     ports::Platform,
     settings::EntrySettings,
-    silence::Silence,
     speed::Speed,
 };
 
@@ -54,23 +54,23 @@
 /// a second, for 0.05% of a core.
 const SPEED_LOOK: Duration = Duration::from_millis(50);
 /// How often jobs that have been over for long are forgotten.
-const FORGET_INTERVAL: Duration = Duration::from_secs(10);
+const JOB_REMOVAL_INTERVAL: Duration = Duration::from_secs(10);
 
 /// The fleet, where callers' questions find it while this entry owns it.
 #[derive(Debug, Clone, Default)]
-pub struct OwnerCell(Rc<RefCell<Option<Owned>>>);
+pub struct FleetHandle(Rc<RefCell<Option<Owned>>>);
 
 /// The fleet in the term in which this entry owns it.
 type Owned = (Term, Rc<RefCell<Fleet>>);
 
-impl OwnerCell {
+impl FleetHandle {
     /// What is known of a job; none if this entry doesn't own the fleet or doesn't know the job.
     pub fn view(&self, id: &str) -> Option<JobView> {
         self.with(|fleet| fleet.view(id)).flatten()
     }
 
     /// The same with the client account that it belongs to.
-    pub fn job(&self, id: &str) -> Option<(JobView, Option<AccountName>)> {
+    pub fn job_with_account(&self, id: &str) -> Option<(JobView, Option<AccountName>)> {
         let read = |fleet: &Fleet| Some((fleet.view(id)?, fleet.account_of(id)?.cloned()));
         self.with(read).flatten()
     }
@@ -81,7 +81,7 @@
     }
 
     /// Jobs of a queue that haven't begun; none if this entry doesn't own the fleet.
-    pub fn pending(&self, queue: &QueueName) -> Option<u64> {
+    pub fn pending_count(&self, queue: &QueueName) -> Option<u64> {
         self.with(|fleet| fleet.pending().get(queue).copied().unwrap_or(0))
     }
 
@@ -112,15 +112,15 @@
     /// Something has happened that may let tasks start.
     pub(crate) changed: Notify,
     /// Something waits to be written.
-    pub(crate) unwritten: Notify,
+    pub(crate) has_unwritten: Notify,
     /// Executors that have a loop of their own.
-    pub(crate) followed: RefCell<HashSet<ExecutorId>>,
+    pub(crate) polled_executors: RefCell<HashSet<ExecutorId>>,
     /// What the loop and the orders of each executor share.
     pub(crate) sessions: RefCell<HashMap<ExecutorId, Rc<executors::Session>>>,
     /// Machines that were ordered lately.
     pub(crate) order_note: order_note::OrderNote,
     /// Whether the watch of the intake is to be doubted.
-    pub(crate) intake_silence: RefCell<Silence>,
+    pub(crate) intake_listings: RefCell<ListingSchedule>,
     /// Revision of the store at which the configuration was written that the decisions go by.
     configured_at: Cell<Option<Revision>>,
 }
@@ -134,18 +134,18 @@
     pub(crate) fn tick(self: &Rc<Self>) {
         self.configure();
         self.fleet.borrow_mut().tick(clock::now(), clock::wall_ms());
-        self.pump();
+        self.execute_commands();
     }
 
     /// Carries out what has been decided.
-    pub(crate) fn pump(self: &Rc<Self>) {
+    pub(crate) fn execute_commands(self: &Rc<Self>) {
         self.log_losses();
         let commands = self.fleet.borrow_mut().take_commands();
         for command in commands {
             let owner = self.clone();
             match command {
                 Command::Start { .. } | Command::Stop { .. } | Command::Pace { .. } => {
-                    owner.order_executor(command);
+                    owner.send_executor_command(command);
                 }
                 Command::Advise { task, executors } => {
                     tokio::task::spawn_local(async move { owner.advise(task, executors).await });
@@ -159,7 +159,7 @@
             }
         }
         if self.fleet.borrow().has_changes() {
-            self.unwritten.notify_one();
+            self.has_unwritten.notify_one();
         }
     }
 
@@ -205,7 +205,7 @@
 
     /// Gives the fleet up once this machine has turned slow, so that one that hasn't decides. One that
     /// was slow when it took over keeps it: nobody faster was there.
-    async fn watch_speed(self: Rc<Self>, speed: Speed) {
+    async fn monitor_speed(self: Rc<Self>, speed: Speed) {
         if speed.is_slow() {
             return;
         }
@@ -215,18 +215,18 @@
             if speed.is_slow() {
                 let fields = json!({ "fence": self.term.fence, "part": speed.part() });
                 self.events.emit("owner_slow", fields);
-                self.term.lose();
+                self.term.mark_lost();
             }
         }
     }
 
-    async fn forget_loop(self: Rc<Self>) {
+    async fn remove_ended_jobs_loop(self: Rc<Self>) {
         while self.is_valid() {
-            tokio::time::sleep(FORGET_INTERVAL).await;
+            tokio::time::sleep(JOB_REMOVAL_INTERVAL).await;
             let forgotten =
                 self.fleet.borrow_mut().forget_jobs(clock::now(), self.settings.retention);
             for job in forgotten {
-                self.forget(&job).await;
+                self.remove_job(&job).await;
             }
         }
     }
@@ -238,7 +238,7 @@
         lease,
         longest_lease: settings.longest_lease,
         // An owner that was cut off may have renewed until its own lease ended.
-        takeover_uncertainty: ownership::ttl(settings.shortest_ttl)
+        takeover_uncertainty: ownership::lease_ttl(settings.shortest_ttl)
             + lease * 21 / 20
             + Duration::from_millis(300),
         stop_timeout: settings.stop_timeout,
@@ -250,20 +250,20 @@
 }
 
 /// Becomes the owner whenever there is none, and acts as such while it lasts.
-pub async fn own_when_free<P: Platform>(
+pub async fn compete_for_ownership<P: Platform>(
     platform: P,
     settings: Rc<EntrySettings>,
     active: Active,
-    cell: OwnerCell,
+    cell: FleetHandle,
     events: Events,
-    life: String,
+    incarnation: String,
     speed: Speed,
 ) {
     let mut candidate = Candidate {
         entry: settings.entry.clone(),
-        life,
+        incarnation,
         cpu_share: settings.cpu_share,
-        ttl: ownership::ttl(settings.shortest_ttl),
+        ttl: ownership::lease_ttl(settings.shortest_ttl),
     };
     loop {
         // A slow machine is as good as a small one.
@@ -276,12 +276,12 @@
             let fence = term.fence;
             run_term(&platform, &settings, &active, &cell, &events, &speed, term.clone()).await;
             let former = platform.clone();
-            tokio::task::spawn_local(async move { term.release_surely(&former).await });
+            tokio::task::spawn_local(async move { term.release_with_retries(&former).await });
             cell.0.borrow_mut().take();
             events.metrics().set_owner(false);
             events.emit("owner_no_more", json!({ "fence": fence }));
         }
-        tokio::time::sleep(ownership::try_interval(candidate.cpu_share)).await;
+        tokio::time::sleep(ownership::acquire_interval(candidate.cpu_share)).await;
     }
 }
 
@@ -289,7 +289,7 @@
     platform: &P,
     settings: &Rc<EntrySettings>,
     active: &Active,
-    cell: &OwnerCell,
+    cell: &FleetHandle,
     events: &Events,
     speed: &Speed,
     term: Term,
@@ -303,30 +303,30 @@
         active: active.clone(),
         events: events.clone(),
         changed: Notify::new(),
-        unwritten: Notify::new(),
-        followed: RefCell::new(HashSet::new()),
+        has_unwritten: Notify::new(),
+        polled_executors: RefCell::new(HashSet::new()),
         sessions: RefCell::new(HashMap::new()),
         order_note: order_note::OrderNote::default(),
-        intake_silence: RefCell::new(Silence::new(clock::now(), intake::LIST_INTERVAL)),
+        intake_listings: RefCell::new(ListingSchedule::new(clock::now(), intake::LIST_INTERVAL)),
         configured_at: Cell::new(None),
     });
     tokio::task::spawn_local(owner.clone().renew_loop());
     let Some(watch_from) = owner.take_over().await else { return };
-    owner.recover_orders().await;
+    owner.recover_machine_orders().await;
     *cell.0.borrow_mut() = Some((term, fleet));
     events.metrics().set_owner(true);
     let started_at: Now = clock::now();
     tokio::task::spawn_local(owner.clone().follow_intake(watch_from));
-    tokio::task::spawn_local(owner.clone().list_intake_again());
-    owner.follow_known();
+    tokio::task::spawn_local(owner.clone().relist_intake());
+    owner.poll_known_executors();
     tokio::task::spawn_local(owner.clone().follow_executors());
     tokio::task::spawn_local(owner.clone().follow_machines());
     tokio::task::spawn_local(owner.clone().commit_loop());
-    tokio::task::spawn_local(owner.clone().publish_pending());
-    tokio::task::spawn_local(owner.clone().forget_loop());
-    tokio::task::spawn_local(owner.clone().explain_loop());
-    tokio::task::spawn_local(owner.clone().tidy_order_note());
-    tokio::task::spawn_local(owner.clone().watch_speed(speed.clone()));
+    tokio::task::spawn_local(owner.clone().publish_pending_counts());
+    tokio::task::spawn_local(owner.clone().remove_ended_jobs_loop());
+    tokio::task::spawn_local(owner.clone().log_waits_loop());
+    tokio::task::spawn_local(owner.clone().prune_order_note());
+    tokio::task::spawn_local(owner.clone().monitor_speed(speed.clone()));
     owner.clone().tick_loop().await;
     let lasted_ms = clock::since(started_at).as_millis() as u64;
     events.emit("term_over", json!({ "fence": owner.term.fence, "lasted_ms": lasted_ms }));
--- a/crates/jackdawpier_entry/src/owner/commits.rs
+++ b/crates/jackdawpier_entry/src/owner/commits.rs
@@ -11,7 +11,7 @@
 use crate::{
     clock, keys, link,
     metrics::Latency,
-    ports::{CallError, Platform, Transaction, TransactionEnd},
+    ports::{CallError, Platform, Transaction, TransactionOutcome},
 };
 
 /// Rows of records in one transaction: with the condition on the owner's key one less than the 32
@@ -83,8 +83,9 @@
         while self.is_valid() {
             if !self.fleet.borrow().has_changes() {
                 // Looks again by itself, so that the end of the term is noticed.
-                let _ = tokio::time::timeout(Duration::from_millis(200), self.unwritten.notified())
-                    .await;
+                let _ =
+                    tokio::time::timeout(Duration::from_millis(200), self.has_unwritten.notified())
+                        .await;
                 continue;
             }
             if under_way.is_full() {
@@ -119,13 +120,13 @@
                 self.fleet.borrow_mut().batch_durable(clock::now(), &batch, &revisions);
                 self.log_finished();
                 if self.is_valid() {
-                    self.pump();
-                    self.wake_settled();
+                    self.execute_commands();
+                    self.wake_acknowledgeable();
                 }
             }
             WriteEnd::Lost => {
                 self.events.emit("write_lost", json!({ "batch": batch.number }));
-                self.term.lose();
+                self.term.mark_lost();
             }
         }
     }
@@ -167,11 +168,11 @@
     async fn write_until_known(&self, batch: &Batch, transaction: &Transaction) -> WriteEnd {
         while self.is_valid() {
             match self.platform.commit(transaction).await {
-                Ok(TransactionEnd::Committed(revision)) => {
+                Ok(TransactionOutcome::Committed(revision)) => {
                     return WriteEnd::Durable(vec![revision; batch.jobs.len()]);
                 }
                 // An earlier try of this write whose answer was lost, or someone else's write.
-                Ok(TransactionEnd::Conflict(items)) => {
+                Ok(TransactionOutcome::Conflict(items)) => {
                     let revisions: Option<Vec<Revision>> = transaction
                         .puts
                         .iter()
--- a/crates/jackdawpier_entry/src/owner/executors.rs
+++ b/crates/jackdawpier_entry/src/owner/executors.rs
@@ -14,7 +14,7 @@
 use crate::{
     clock,
     metrics::Latency,
-    ports::{CallError, HoldQuestion, OrderTarget, Platform, StartOrder},
+    ports::{CallError, HoldRequest, OrderTarget, Platform, StartOrder},
     registry::RegistryChange,
 };
 
@@ -79,14 +79,14 @@
     }
 
     /// Starts the loops of executors on which an earlier owner has placed tasks, registered or not.
-    pub(super) fn follow_known(self: &Rc<Self>) {
+    pub(super) fn poll_known_executors(self: &Rc<Self>) {
         let known: Vec<ExecutorId> =
             self.fleet.borrow().executors().map(|(id, _)| id.clone()).collect();
         known.into_iter().for_each(|id| self.follow_if_new(id));
     }
 
     fn follow_if_new(self: &Rc<Self>, id: ExecutorId) {
-        if self.followed.borrow_mut().insert(id.clone()) {
+        if self.polled_executors.borrow_mut().insert(id.clone()) {
             tokio::task::spawn_local(self.clone().follow(id));
         }
     }
@@ -106,10 +106,11 @@
                 tokio::time::sleep(HOLD_PAUSE).await;
                 continue;
             };
-            let busy_wait = busy_hold_wait(self.followed.borrow().len(), self.settings.cpu_share);
+            let busy_wait =
+                busy_hold_wait(self.polled_executors.borrow().len(), self.settings.cpu_share);
             let longest = if order.expects_end { busy_wait } else { HOLD_WAIT };
             let wait = if order.may_wait { longest } else { Duration::ZERO };
-            let question = HoldQuestion {
+            let question = HoldRequest {
                 acknowledged: order.acknowledged,
                 lease_until: order.lease_until,
                 wait,
@@ -133,13 +134,13 @@
                         self.events.emit("task_ended", fields);
                     }
                     let stops = self.fleet.borrow_mut().repeat_stops(now, &id);
-                    stops.into_iter().for_each(|stop| self.clone().order_executor(stop));
-                    self.pump();
+                    stops.into_iter().for_each(|stop| self.clone().send_executor_command(stop));
+                    self.execute_commands();
                     self.changed.notify_one();
                 }
                 Err(CallError::Fenced) => {
                     self.events.emit("fenced", json!({ "executor": *id }));
-                    self.term.lose();
+                    self.term.mark_lost();
                 }
                 Err(error) => {
                     self.fleet.borrow_mut().hold_failed(clock::now(), &id);
@@ -158,7 +159,7 @@
                 self.wait_until_durable(&id).await;
             }
         }
-        self.followed.borrow_mut().remove(&id);
+        self.polled_executors.borrow_mut().remove(&id);
         self.sessions.borrow_mut().remove(&id);
     }
 
@@ -185,7 +186,7 @@
     }
 
     /// Carries an order to an executor out.
-    pub(super) fn order_executor(self: Rc<Self>, command: Command) {
+    pub(super) fn send_executor_command(self: Rc<Self>, command: Command) {
         match command {
             Command::Start { executor, task, run, payload, checkpoint, ticket } => {
                 tokio::task::spawn_local(async move {
@@ -218,7 +219,7 @@
 
     /// Lets the loops go on whose executors may be told to forget more ends. Only those: woken by each
     /// write, hundreds of them looked in vain a hundred times a second.
-    pub(super) fn wake_settled(&self) {
+    pub(super) fn wake_acknowledgeable(&self) {
         let settled = self.fleet.borrow_mut().take_acknowledgeable();
         let sessions = self.sessions.borrow();
         let waiting = settled.iter().filter_map(|id| sessions.get(id));
@@ -276,7 +277,7 @@
             end,
             is_certain,
         );
-        self.pump();
+        self.execute_commands();
         if end != StartOutcome::Started {
             self.changed.notify_one();
         }
--- a/crates/jackdawpier_entry/src/owner/explain.rs
+++ b/crates/jackdawpier_entry/src/owner/explain.rs
@@ -23,7 +23,7 @@
 const RUNS_NAMED: usize = 16;
 
 impl<P: Platform> Owner<P> {
-    pub(super) async fn explain_loop(self: Rc<Self>) {
+    pub(super) async fn log_waits_loop(self: Rc<Self>) {
         while self.is_valid() {
             tokio::time::sleep(INTERVAL).await;
             let now = clock::now();
--- a/crates/jackdawpier_entry/src/owner/intake.rs
+++ b/crates/jackdawpier_entry/src/owner/intake.rs
@@ -36,7 +36,9 @@
             match self.platform.watch(keys::INTAKE, after, WATCH_WAIT).await {
                 Ok(changes) => {
                     after = changes.revision;
-                    self.intake_silence.borrow_mut().heard(clock::now(), changes.changes.len());
+                    self.intake_listings
+                        .borrow_mut()
+                        .on_changes(clock::now(), changes.changes.len());
                     let items: Vec<_> = changes
                         .changes
                         .into_iter()
@@ -46,11 +48,11 @@
                         })
                         .collect();
                     if !items.is_empty() && self.is_valid() {
-                        self.take_in(Source::Watch, items, &mut HashMap::new());
+                        self.ingest(Source::Watch, items, &mut HashMap::new());
                         self.changed.notify_one();
                     }
                 }
-                Err(CallError::HistoryGone) => {
+                Err(CallError::HistoryCompacted) => {
                     self.events.emit("watch_restarted", json!({ "after": after }));
                     if let Some(revision) = self.list_intake().await {
                         after = revision;
@@ -63,9 +65,9 @@
 
     /// Lists the intake now and then, and soon where the watch is suspiciously silent: a turn of demand
     /// that began while watches heard nothing was unseen for 1.3 s.
-    pub(super) async fn list_intake_again(self: Rc<Self>) {
+    pub(super) async fn relist_intake(self: Rc<Self>) {
         while self.is_valid() {
-            let wait = self.intake_silence.borrow().wait(clock::now());
+            let wait = self.intake_listings.borrow().time_until_listing(clock::now());
             if wait.is_zero() {
                 self.list_intake().await;
             } else {
@@ -78,7 +80,7 @@
         let listing = self.platform.list(keys::INTAKE).await;
         let Ok(listing) = listing else {
             // Not again before the next look, so that a failing store isn't pressed.
-            self.intake_silence.borrow_mut().listed(clock::now(), 0);
+            self.intake_listings.borrow_mut().on_listed(clock::now(), 0);
             return None;
         };
         if !self.is_valid() {
@@ -86,9 +88,9 @@
         }
         let bytes: usize = listing.items.iter().map(|item| item.value.len()).sum();
         let longest = list_interval(bytes, self.settings.link_mbps);
-        self.intake_silence.borrow_mut().set_longest(longest);
-        let found = self.take_in(Source::Listing, listing.items, &mut HashMap::new());
-        self.intake_silence.borrow_mut().listed(clock::now(), found);
+        self.intake_listings.borrow_mut().set_max_interval(longest);
+        let found = self.ingest(Source::Listing, listing.items, &mut HashMap::new());
+        self.intake_listings.borrow_mut().on_listed(clock::now(), found);
         if found > 0 {
             self.events.emit("listing_found", json!({ "jobs": found }));
         }
@@ -96,7 +98,7 @@
         Some(listing.revision)
     }
 
-    pub(super) async fn publish_pending(self: Rc<Self>) {
+    pub(super) async fn publish_pending_counts(self: Rc<Self>) {
         while self.is_valid() {
             let counts = self.fleet.borrow().pending();
             let value = pending::encode(&counts);
@@ -113,7 +115,7 @@
     }
 
     /// Removes what the store holds of a job that has been over for long.
-    pub(super) async fn forget(&self, job: &str) {
+    pub(super) async fn remove_job(&self, job: &str) {
         let transaction = Transaction {
             expect: vec![(keys::OWNER.to_owned(), self.term.fence)],
             puts: Vec::new(),
--- a/crates/jackdawpier_entry/src/owner/machines.rs
+++ b/crates/jackdawpier_entry/src/owner/machines.rs
@@ -44,7 +44,7 @@
             }
             self.list_waves().await;
             if self.is_valid() {
-                self.pump();
+                self.execute_commands();
                 self.changed.notify_one();
             }
             tokio::time::sleep(pause).await;
@@ -60,7 +60,7 @@
                 Ok(wave) => waves.push((wave, Duration::ZERO)),
                 Err(error) => {
                     is_whole = false;
-                    self.unreadable(&item.key, &error.to_string());
+                    self.log_unreadable(&item.key, &error.to_string());
                 }
             }
         }
@@ -88,27 +88,27 @@
     /// nothing else keeps a former owner's order from mixing with a later one's. That may take seconds, after which it is
     /// asked again whether the order may leave.
     pub(super) async fn order_machine(self: Rc<Self>, order: MachineOrder) {
-        let is_noted = self.note_order(&order.machine).await;
+        let is_noted = self.record_order(&order.machine).await;
         let may_leave =
             is_noted && self.fleet.borrow().may_send_machine_order(clock::now(), &order);
         let end = if may_leave {
-            self.platform.order(&order, &self.settings.entry, self.term.fence).await
+            self.platform.send_order(&order, &self.settings.entry, self.term.fence).await
         } else {
             MachineOrderOutcome::NotTaken
         };
-        self.order_note.over(clock::now(), &order.machine);
+        self.order_note.order_ended(clock::now(), &order.machine);
         let fields = json!({ "machine": *order.machine, "work": format!("{:?}", order.work), "end": format!("{end:?}"), "left": may_leave });
         self.events.emit("machine_ordered", fields);
         if self.is_valid() {
             self.fleet.borrow_mut().machine_order_ended(clock::now(), &order, end);
-            self.pump();
+            self.execute_commands();
             self.changed.notify_one();
         }
     }
 
     /// Writes the state of a wave for operators and for later owners.
     pub(super) async fn publish_wave(self: Rc<Self>, state: WaveState) {
-        let (key, value) = self.platform.wave_status(&state);
+        let (key, value) = self.platform.encode_wave_status(&state);
         let maintained = serde_json::to_vec(&state.maintained).unwrap_or_default();
         let transaction = Transaction {
             expect: vec![(keys::OWNER.to_owned(), self.term.fence)],
--- a/crates/jackdawpier_entry/src/owner/order_note.rs
+++ b/crates/jackdawpier_entry/src/owner/order_note.rs
@@ -20,7 +20,7 @@
 use super::{Owner, fleet_settings};
 use crate::{
     clock, keys,
-    ports::{CallResult, Platform, Transaction, TransactionEnd},
+    ports::{CallResult, Platform, Transaction, TransactionOutcome},
 };
 
 /// Pause before a note that couldn't be read is asked for again.
@@ -57,7 +57,7 @@
     }
 
     /// An order about a machine is over, whether it left or not.
-    pub(super) fn over(&self, at: Now, machine: &MachineId) {
+    pub(super) fn order_ended(&self, at: Now, machine: &MachineId) {
         self.ordered_at.borrow_mut().insert(machine.clone(), Some(at));
     }
 
@@ -83,7 +83,7 @@
 
 impl<P: Platform> Owner<P> {
     /// Reads which machines the former owner ordered, and leaves those alone for a while.
-    pub(super) async fn recover_orders(&self) {
+    pub(super) async fn recover_machine_orders(&self) {
         while self.is_valid() {
             let Ok(item) = self.platform.get(keys::MACHINE_ORDERS).await else {
                 tokio::time::sleep(REPEAT_PAUSE).await;
@@ -96,7 +96,7 @@
                 Some(Ok(noted)) => noted,
                 Some(Err(error)) => {
                     // Without it all machines are left alone for a while.
-                    self.unreadable(keys::MACHINE_ORDERS, &error.to_string());
+                    self.log_unreadable(keys::MACHINE_ORDERS, &error.to_string());
                     return;
                 }
             };
@@ -104,7 +104,7 @@
             self.events.emit("machine_orders_recovered", json!({ "machines": noted.len() }));
             let machines = noted.into_iter().map(|noted| {
                 let age = Duration::from_millis(noted.age_ms);
-                self.order_note.over(now.saturating_sub(age), &noted.machine);
+                self.order_note.order_ended(now.saturating_sub(age), &noted.machine);
                 (noted.machine, age)
             });
             let machines = machines.collect();
@@ -119,7 +119,7 @@
 
     /// Writes the note anew once orders in it don't matter any more: ages in it are as old as the note, so
     /// the next owner would leave those machines alone for up to 3.9 s, in which it has most to move.
-    pub(super) async fn tidy_order_note(self: Rc<Self>) {
+    pub(super) async fn prune_order_note(self: Rc<Self>) {
         while self.is_valid() {
             tokio::time::sleep(TIDY_INTERVAL).await;
             if self.order_note.is_outdated(clock::now(), self.order_lease()) {
@@ -133,7 +133,7 @@
 
     /// Notes that a machine is about to be ordered. Returns whether the order may leave: the store
     /// holds the note and has just confirmed the ownership.
-    pub(super) async fn note_order(&self, machine: &MachineId) -> bool {
+    pub(super) async fn record_order(&self, machine: &MachineId) -> bool {
         let note = &self.order_note;
         let place = note.add(machine);
         let mut revision = note.revision.lock().await;
@@ -172,17 +172,17 @@
             removes: Vec::new(),
         };
         match self.platform.commit(&transaction).await? {
-            TransactionEnd::Committed(committed) => {
+            TransactionOutcome::Committed(committed) => {
                 *revision = Some(committed);
                 note.written.set(covered);
                 Ok(true)
             }
-            TransactionEnd::Conflict(items) => {
+            TransactionOutcome::Conflict(items) => {
                 let is_owner = |item: &crate::ports::Item| {
                     item.key == keys::OWNER && item.revision == self.term.fence
                 };
                 if !items.iter().any(is_owner) {
-                    self.term.lose();
+                    self.term.mark_lost();
                 }
                 Ok(false)
             }
--- a/crates/jackdawpier_entry/src/owner/registry.rs
+++ b/crates/jackdawpier_entry/src/owner/registry.rs
@@ -23,7 +23,7 @@
 /// The whole registry is read again after this long, whatever the watch hears.
 const LIST_INTERVAL: Duration = Duration::from_millis(8000);
 
-/// The registry as far as it has been followed.
+/// The registry as far as it has been polled_executors.
 #[derive(Debug, Default)]
 pub(super) struct RegistryWatch {
     registry: Registry,
@@ -55,7 +55,7 @@
                 let changes = news.changes.into_iter();
                 Ok(changes.filter_map(|change| self.take(owner, change)).collect())
             }
-            Err(CallError::HistoryGone) => {
+            Err(CallError::HistoryCompacted) => {
                 self.listed_at = None;
                 Ok(Vec::new())
             }
@@ -91,5 +91,5 @@
 
 fn read_entry<P: Platform>(owner: &Owner<P>, item: &Item) -> Option<ExecutorInfo> {
     let read = owner.platform.read_executor(&item.key, &item.value);
-    read.inspect_err(|error| owner.unreadable(&item.key, &error.to_string())).ok()
+    read.inspect_err(|error| owner.log_unreadable(&item.key, &error.to_string())).ok()
 }
--- a/crates/jackdawpier_entry/src/owner/takeover.rs
+++ b/crates/jackdawpier_entry/src/owner/takeover.rs
@@ -43,8 +43,8 @@
     /// none if the ownership ended meanwhile.
     pub(super) async fn take_over(self: &Rc<Self>) -> Option<Revision> {
         let began_at = clock::now();
-        let intake = self.list_surely(keys::INTAKE).await?;
-        let records = self.list_surely(keys::RECORDS).await?;
+        let intake = self.list_with_retries(keys::INTAKE).await?;
+        let records = self.list_with_retries(keys::RECORDS).await?;
         let mut written: HashMap<String, (JobRecord, Revision)> = HashMap::new();
         for item in records.items {
             let job = item.key[keys::RECORDS.len()..].to_owned();
@@ -52,14 +52,14 @@
                 Ok(record) => {
                     written.insert(job, (record, item.revision));
                 }
-                Err(error) => self.unreadable(&item.key, &error.to_string()),
+                Err(error) => self.log_unreadable(&item.key, &error.to_string()),
             }
         }
         let jobs = intake.items.len();
-        self.take_in(Source::Listing, intake.items, &mut written);
+        self.ingest(Source::Listing, intake.items, &mut written);
         for (job, (record, _)) in written {
             if record.outcome.is_none() {
-                self.unreadable(&keys::submission(&job), "missing, though its job isn't over");
+                self.log_unreadable(&keys::submission(&job), "missing, though its job isn't over");
                 continue;
             }
             let (now, wall_ms) = (clock::now(), clock::wall_ms());
@@ -76,7 +76,7 @@
         Some(intake.revision)
     }
 
-    async fn list_surely(&self, prefix: &str) -> Option<Listing> {
+    async fn list_with_retries(&self, prefix: &str) -> Option<Listing> {
         while self.is_valid() {
             match self.platform.list(prefix).await {
                 Ok(listing) => return Some(listing),
@@ -88,7 +88,7 @@
 
     /// Takes in accepted jobs first and cancellations after, whatever their order of arrival. Returns the
     /// number of jobs that weren't known.
-    pub(super) fn take_in(
+    pub(super) fn ingest(
         &self,
         source: Source,
         items: Vec<crate::ports::Item>,
@@ -114,7 +114,7 @@
                         fleet.add_job(now, arrived_at, wall_ms, id.into(), submission);
                     }
                 }
-                Err(error) => self.unreadable(&item.key, &error.to_string()),
+                Err(error) => self.log_unreadable(&item.key, &error.to_string()),
             }
         }
         for item in others {
@@ -125,7 +125,7 @@
         found
     }
 
-    pub(super) fn unreadable(&self, key: &str, why: &str) {
+    pub(super) fn log_unreadable(&self, key: &str, why: &str) {
         self.events.emit("unreadable", json!({ "key": key, "why": why }));
     }
 }
--- a/crates/jackdawpier_entry/src/ownership.rs
+++ b/crates/jackdawpier_entry/src/ownership.rs
@@ -11,10 +11,10 @@
 
 use crate::{
     clock, keys,
-    ports::{CallError, CallResult, LeaseId, Platform, Transaction, TransactionEnd},
+    ports::{CallError, CallResult, LeaseId, Platform, Transaction, TransactionOutcome},
 };
 
-/// Life of the lease. A killed owner is followed after this long, and a store that doesn't answer
+/// Life of the lease. A killed owner is polled_executors after this long, and a store that doesn't answer
 /// for a little less costs the ownership.
 const TTL: Duration = Duration::from_millis(1500);
 /// Renewals an owner may miss: three of four.
@@ -29,8 +29,9 @@
 #[derive(Debug, Serialize, Deserialize)]
 struct OwnerValue {
     entry: String,
-    /// Tells the lives of an entry apart.
-    life: String,
+    /// Process of the entry: distinguishes restarts.
+    #[serde(rename = "life")]
+    incarnation: String,
     /// Its share of a core.
     cpu_share: f64,
 }
@@ -66,7 +67,7 @@
     }
 
     /// Ends the term at this entry: another may have begun.
-    pub fn lose(&self) {
+    pub fn mark_lost(&self) {
         self.state.borrow_mut().is_lost = true;
     }
 
@@ -75,7 +76,7 @@
         match platform.get(keys::OWNER).await {
             Ok(Some(item)) if item.revision == self.fence => true,
             Ok(_) => {
-                self.lose();
+                self.mark_lost();
                 false
             }
             Err(_) => false,
@@ -96,7 +97,7 @@
                 Ok(())
             }
             Err(CallError::LeaseEnded) => {
-                self.lose();
+                self.mark_lost();
                 Err(CallError::LeaseEnded)
             }
             Err(error) => Err(error),
@@ -106,13 +107,13 @@
     /// Gives the ownership up, so that another entry needn't wait for the lease to end. Returns whether
     /// the lease has ended for certain.
     pub async fn release<P: Platform>(&self, platform: &P) -> bool {
-        self.lose();
+        self.mark_lost();
         matches!(platform.end_lease(self.lease).await, Ok(()) | Err(CallError::LeaseEnded))
     }
 
     /// Gives the ownership up as soon as the store answers: leases may pause while it is down, and after
     /// its return nothing would start for as long as the lease had left.
-    pub async fn release_surely<P: Platform>(&self, platform: &P) {
+    pub async fn release_with_retries<P: Platform>(&self, platform: &P) {
         let began_at = clock::now();
         while !self.release(platform).await && clock::since(began_at) < RELEASE_PATIENCE {
             tokio::time::sleep(RELEASE_PAUSE).await;
@@ -125,16 +126,16 @@
 pub struct Candidate {
     /// Name of the entry.
     pub entry: String,
-    /// Tells the lives of an entry apart.
-    pub life: String,
+    /// Process of the entry: distinguishes restarts.
+    pub incarnation: String,
     /// Its share of a core.
     pub cpu_share: f64,
-    /// Life of the lease, see [`ttl`].
+    /// Life of the lease, see [`lease_ttl`].
     pub ttl: Duration,
 }
 
 /// Life of the lease, where the store grants none below `shortest`.
-pub fn ttl(shortest: Duration) -> Duration {
+pub fn lease_ttl(shortest: Duration) -> Duration {
     TTL.max(shortest)
 }
 
@@ -160,8 +161,8 @@
     };
     let asked_at = clock::now();
     let lease = platform.grant_lease(candidate.ttl).await?;
-    let (entry, life) = (candidate.entry.clone(), candidate.life.clone());
-    let value = OwnerValue { entry, life, cpu_share: candidate.cpu_share };
+    let (entry, incarnation) = (candidate.entry.clone(), candidate.incarnation.clone());
+    let value = OwnerValue { entry, incarnation, cpu_share: candidate.cpu_share };
     let value = serde_json::to_vec(&value).expect("plain strings can be written as JSON");
     let transaction = Transaction {
         expect: vec![(keys::OWNER.to_owned(), expected)],
@@ -169,8 +170,8 @@
         removes: Vec::new(),
     };
     let fence = match platform.commit(&transaction).await {
-        Ok(TransactionEnd::Committed(revision)) => revision,
-        Ok(TransactionEnd::Conflict(_)) | Err(CallError::NotDone { .. }) => {
+        Ok(TransactionOutcome::Committed(revision)) => revision,
+        Ok(TransactionOutcome::Conflict(_)) | Err(CallError::NotDone { .. }) => {
             let _ = platform.end_lease(lease).await;
             return Ok(None);
         }
@@ -194,9 +195,10 @@
 /// taken away.
 fn may_replace(value: &[u8], candidate: &Candidate) -> bool {
     serde_json::from_slice::<OwnerValue>(value).is_ok_and(|holder| {
-        let is_former_life = holder.entry == candidate.entry && holder.life != candidate.life;
+        let is_previous_incarnation =
+            holder.entry == candidate.entry && holder.incarnation != candidate.incarnation;
         let is_larger = is_enough(candidate.cpu_share) && !is_enough(holder.cpu_share);
-        is_former_life || is_larger
+        is_previous_incarnation || is_larger
     })
 }
 
@@ -210,6 +212,6 @@
 const SMALL_TRY_INTERVAL: Duration = Duration::from_millis(1500);
 
 /// Pause between two tries of an entry with this share of a core.
-pub fn try_interval(cpu_share: f64) -> Duration {
+pub fn acquire_interval(cpu_share: f64) -> Duration {
     if is_enough(cpu_share) { TRY_INTERVAL } else { SMALL_TRY_INTERVAL }
 }
--- a/crates/jackdawpier_entry/src/pending.rs
+++ b/crates/jackdawpier_entry/src/pending.rs
@@ -20,7 +20,7 @@
 
 use crate::{
     clock, keys,
-    ports::{CallError, CallResult, Item, Listing, Platform, Transaction, TransactionEnd},
+    ports::{CallError, CallResult, Item, Listing, Platform, Transaction, TransactionOutcome},
 };
 
 /// Callers may be told a count that is this old. Entries' times of day differ by little; where they jump by
@@ -115,13 +115,13 @@
 
 /// The counts, as this entry knows them.
 #[derive(Debug, Default)]
-pub struct Pending {
+pub struct PendingCounter {
     own: Rc<Own>,
     /// Held while somebody waits for a new note, so that the others wait for the same.
     waiting: Mutex<()>,
 }
 
-impl Pending {
+impl PendingCounter {
     /// Reads the note; if it is old, waits for one that this or another entry counts.
     ///
     /// # Errors
@@ -229,8 +229,8 @@
         removes: Vec::new(),
     };
     match platform.commit(&transaction).await {
-        Ok(TransactionEnd::Committed(revision)) => Ok(Some(revision)),
-        Ok(TransactionEnd::Conflict(_)) => Ok(None),
+        Ok(TransactionOutcome::Committed(revision)) => Ok(Some(revision)),
+        Ok(TransactionOutcome::Conflict(_)) => Ok(None),
         // The answer is lost: the note says whether the write was carried out.
         Err(CallError::Unanswered { .. }) => {
             let held = platform.get(keys::PENDING).await?;
--- a/crates/jackdawpier_entry/src/ports.rs
+++ b/crates/jackdawpier_entry/src/ports.rs
@@ -34,7 +34,7 @@
     },
     /// The history that a watch needs is gone: list again.
     #[display("the history asked for is gone")]
-    HistoryGone,
+    HistoryCompacted,
     /// The lease has ended.
     #[display("the lease has ended")]
     LeaseEnded,
@@ -100,7 +100,7 @@
 
 /// How a transaction ended.
 #[derive(Debug, Clone)]
-pub enum TransactionEnd {
+pub enum TransactionOutcome {
     /// It took effect at this revision.
     Committed(Revision),
     /// A condition didn't hold; the expected keys as they are now.
@@ -125,8 +125,10 @@
         wait: Duration,
     ) -> impl Future<Output = CallResult<Changes>>;
     /// Writes under a condition.
-    fn commit(&self, transaction: &Transaction)
-    -> impl Future<Output = CallResult<TransactionEnd>>;
+    fn commit(
+        &self,
+        transaction: &Transaction,
+    ) -> impl Future<Output = CallResult<TransactionOutcome>>;
     /// Asks for a lease.
     fn grant_lease(&self, ttl: Duration) -> impl Future<Output = CallResult<LeaseId>>;
     /// Renews a lease.
@@ -165,7 +167,7 @@
 
 /// A question to an executor what runs, which renews its lease.
 #[derive(Debug, Clone, Copy)]
-pub struct HoldQuestion {
+pub struct HoldRequest {
     /// Ends up to this position may be forgotten.
     pub acknowledged: u64,
     /// The lease by the executor's clock.
@@ -198,7 +200,7 @@
     fn hold(
         &self,
         target: &OrderTarget,
-        question: &HoldQuestion,
+        question: &HoldRequest,
     ) -> impl Future<Output = CallResult<HoldReport>>;
 }
 
@@ -207,7 +209,7 @@
     /// All machines.
     fn machines(&self) -> impl Future<Output = CallResult<Vec<MachineInfo>>>;
     /// Orders something about a machine, in the name of `holder`.
-    fn order(
+    fn send_order(
         &self,
         order: &MachineOrder,
         holder: &str,
@@ -292,7 +294,7 @@
     /// Prefix of the executors' own entries.
     fn executor_prefix(&self) -> &'static str;
     /// Key for the state of a wave, and its text.
-    fn wave_status(&self, state: &WaveState) -> (String, Vec<u8>);
+    fn encode_wave_status(&self, state: &WaveState) -> (String, Vec<u8>);
     /// Reads a configuration.
     fn read_configuration(&self, value: &[u8]) -> Result<Configuration, Malformed>;
     /// Reads a wave.
@@ -304,11 +306,11 @@
     /// Whether a text can be the id of a job.
     fn is_job_id(&self, text: &str) -> bool;
     /// The answer to a question for a job.
-    fn job_view(&self, view: JobView) -> Vec<u8>;
+    fn encode_job_view(&self, view: JobView) -> Vec<u8>;
     /// The answer to a question for a queue.
-    fn pending(&self, count: u64) -> Vec<u8>;
+    fn encode_pending_count(&self, count: u64) -> Vec<u8>;
     /// An answer that says what went wrong.
-    fn problem(&self, text: &str) -> Vec<u8>;
+    fn encode_error(&self, text: &str) -> Vec<u8>;
     /// Name of the header with the time in milliseconds for which a caller waits.
     fn deadline_header(&self) -> &'static str;
     /// Name of the header with a caller's key.
--- a/crates/jackdawpier_entry/src/run.rs
+++ b/crates/jackdawpier_entry/src/run.rs
@@ -21,8 +21,8 @@
     events::Events,
     freshness,
     http_server::{self, InFlight},
-    owner::{self, OwnerCell},
-    pending::Pending,
+    owner::{self, FleetHandle},
+    pending::PendingCounter,
     ports::Platform,
     settings::EntrySettings,
     speed::{self, Speed},
@@ -45,11 +45,11 @@
 ) -> io::Result<()> {
     let settings = Rc::new(settings);
     let events = Events::new(&settings.entry);
-    let life = format!("{}-{}", std::process::id(), clock::wall_ms());
-    events.emit("started", json!({ "life": life, "callers": settings.callers.to_string() }));
+    let incarnation = format!("{}-{}", std::process::id(), clock::wall_ms());
+    events.emit("started", json!({ "life": incarnation, "callers": settings.callers.to_string() }));
     let active = Active::new(settings.revocation);
     let intake = Intake::default();
-    let cell = OwnerCell::default();
+    let cell = FleetHandle::default();
     let (stop, stopping) = watch::channel(false);
     let in_flight = InFlight::default();
 
@@ -58,15 +58,19 @@
         active.clone(),
         events.clone(),
     ));
-    tokio::task::spawn_local(freshness::prove(platform.clone(), active.clone(), events.clone()));
+    tokio::task::spawn_local(freshness::prove_configuration(
+        platform.clone(),
+        active.clone(),
+        events.clone(),
+    ));
     tokio::task::spawn_local(acceptance::write_jobs(platform.clone(), intake.clone()));
-    let owning = tokio::task::spawn_local(owner::own_when_free(
+    let owning = tokio::task::spawn_local(owner::compete_for_ownership(
         platform.clone(),
         settings.clone(),
         active.clone(),
         cell.clone(),
         events.clone(),
-        life,
+        incarnation,
         Speed::new(speed::measure),
     ));
 
@@ -75,7 +79,7 @@
         active: active.clone(),
         intake,
         owner: cell.clone(),
-        pending: Pending::default(),
+        pending: PendingCounter::default(),
         events: events.clone(),
     });
     let connections = Connections::default();
--- a/crates/jackdawpier_entry/src/shared_proof.rs
+++ b/crates/jackdawpier_entry/src/shared_proof.rs
@@ -10,7 +10,7 @@
 
 use crate::{
     keys,
-    ports::{CallResult, Item, Platform, Transaction, TransactionEnd},
+    ports::{CallResult, Item, Platform, Transaction, TransactionOutcome},
 };
 
 /// What the note says.
@@ -24,11 +24,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reading {
     /// Nothing: it is the first, or the note can't be read.
-    Nothing,
+    Inconclusive,
     /// The note hasn't been written since the last reading left.
     Unchanged,
     /// The document of this revision stood after `at`.
-    Stood {
+    Confirmed {
         /// Revision of the document.
         document: Revision,
         /// When the last reading left.
@@ -54,50 +54,50 @@
 
 impl SharedProof {
     /// Takes in a reading that left at `asked_at`.
-    pub fn read(&mut self, asked_at: Now, item: Option<&Item>) -> Reading {
+    pub fn on_read(&mut self, asked_at: Now, item: Option<&Item>) -> Reading {
         let revision = item.map_or(0, |item| item.revision);
         let last = self.seen.unwrap_or(Seen { revision: 0, asked_at });
         if revision < last.revision {
             // Another store, or an old answer; it must not make the next reading look like news.
-            return Reading::Nothing;
+            return Reading::Inconclusive;
         }
         let is_first = self.seen.replace(Seen { revision, asked_at }).is_none();
         if is_first {
-            return Reading::Nothing;
+            return Reading::Inconclusive;
         }
         if revision == last.revision {
             return Reading::Unchanged;
         }
         let note = item.and_then(|item| serde_json::from_slice::<Note>(&item.value).ok());
-        note.map_or(Reading::Nothing, |note| Reading::Stood {
+        note.map_or(Reading::Inconclusive, |note| Reading::Confirmed {
             document: note.document,
             at: last.asked_at,
         })
     }
 
     /// Notes that this entry's write, which left at `asked_at`, was carried out.
-    pub fn wrote(&mut self, asked_at: Now, revision: Revision) {
+    pub fn on_written(&mut self, asked_at: Now, revision: Revision) {
         self.seen = Some(Seen { revision, asked_at });
         self.own = Some(revision);
     }
 
     /// Whether the note was last found as this entry had written it: then it goes on writing, and the others needn't.
-    pub fn is_own(&self) -> bool {
+    pub fn is_last_writer(&self) -> bool {
         self.own.is_some() && self.own == self.seen.map(|seen| seen.revision)
     }
 }
 
 /// Reads the note.
-pub(crate) async fn get<P: Platform>(platform: &P) -> CallResult<Option<Item>> {
+pub(crate) async fn read_note<P: Platform>(platform: &P) -> CallResult<Option<Item>> {
     platform.get(keys::PROOF).await
 }
 
 /// Writes the note under the condition that the document of a revision stands. It isn't a condition that the note is
 /// as it was found: whoever writes last says the same, and a conflict would bring the whole document.
-pub(crate) async fn put<P: Platform>(
+pub(crate) async fn write_note<P: Platform>(
     platform: &P,
     document: Revision,
-) -> CallResult<TransactionEnd> {
+) -> CallResult<TransactionOutcome> {
     let note = serde_json::to_vec(&Note { document }).expect("a number can be written as JSON");
     let transaction = Transaction {
         expect: vec![(platform.configuration_key().to_owned(), document)],
--- a/crates/jackdawpier_entry/tests/acceptance.rs
+++ b/crates/jackdawpier_entry/tests/acceptance.rs
@@ -10,7 +10,7 @@
     configuration::Active,
     keys,
 };
-use support::{Fake, Fate, run, start_intake, submission};
+use support::{Fake, WriteFault, run, start_intake, submission};
 
 async fn submit(fake: &Fake, patience_ms: u64) -> Acceptance {
     let intake = Intake::default();
@@ -49,7 +49,7 @@
 fn lost_answer() {
     run(async {
         let fake = Fake::default();
-        fake.next_writes(&[Fate::AnswerLost]);
+        fake.fail_next_writes(&[WriteFault::AnswerLost]);
         assert_eq!(submit(&fake, 1000).await, Acceptance::Accepted);
     });
 }
@@ -58,7 +58,7 @@
 fn refused_write() {
     run(async {
         let fake = Fake::default();
-        fake.next_writes(&[Fate::Refused]);
+        fake.fail_next_writes(&[WriteFault::Refused]);
         assert_eq!(submit(&fake, 1000).await, Acceptance::Refused);
         assert!(!is_stored(&fake));
     });
@@ -70,10 +70,15 @@
 fn late_write() {
     run(async {
         let fake = Fake::default();
-        fake.next_writes(&[Fate::Late, Fate::Refused, Fate::Refused, Fate::Refused]);
-        fake.next_writes(&[Fate::Refused; 40]);
+        fake.fail_next_writes(&[
+            WriteFault::Delayed,
+            WriteFault::Refused,
+            WriteFault::Refused,
+            WriteFault::Refused,
+        ]);
+        fake.fail_next_writes(&[WriteFault::Refused; 40]);
         assert_eq!(submit(&fake, 200).await, Acceptance::Unknown);
-        fake.carry_out_late();
+        fake.apply_delayed_writes();
         assert!(is_stored(&fake));
     });
 }
@@ -104,7 +109,7 @@
 fn silent_store() {
     run(async {
         let fake = Fake::default();
-        fake.next_writes(&[Fate::Lost; 200]);
+        fake.fail_next_writes(&[WriteFault::Lost; 200]);
         assert_eq!(submit(&fake, 60_000).await, Acceptance::Unknown);
         assert!(fake.commits() < 50, "{} tries", fake.commits());
     });
@@ -116,7 +121,7 @@
 fn hanging_store() {
     run(async {
         let fake = Fake::default();
-        fake.next_writes(&[Fate::Hangs; 200]);
+        fake.fail_next_writes(&[WriteFault::Hangs; 200]);
         let intake = start_intake(&fake);
         let deadline = clock::now() + Duration::from_secs(60);
         let began_at = clock::now();
@@ -180,7 +185,7 @@
 fn unanswered_write() {
     run(async {
         let fake = Fake::default();
-        fake.next_writes(&[Fate::Lost; 200]);
+        fake.fail_next_writes(&[WriteFault::Lost; 200]);
         let intake = start_intake(&fake);
         let deadline = clock::now() + Duration::from_secs(60);
         assert_eq!(intake.unanswered_since(), None);
--- a/crates/jackdawpier_entry/tests/client_accounts.rs
+++ b/crates/jackdawpier_entry/tests/client_accounts.rs
@@ -112,7 +112,7 @@
 fn added_key() {
     run(async {
         let entry = start().await;
-        entry.fake.set_deaf(true);
+        entry.fake.stall_watches(true);
         entry.fake.put(CONFIGURATION, b"2 baker-key:bakery shop-key:shop cafe-key:cafe");
         assert_eq!(entry.status("POST", "/a/job", Some("cafe-key")).await, 200);
     });
--- a/crates/jackdawpier_entry/tests/ended_jobs.rs
+++ b/crates/jackdawpier_entry/tests/ended_jobs.rs
@@ -74,7 +74,7 @@
         let (cell, _owning) = start_owner(&fake, "a");
         assert!(wait_until(|| fake.value(keys::OWNER).is_some()).await);
         assert_eq!(submit(&intake).await, Acceptance::Accepted);
-        let entry = Entry::start_beside(&fake, None, cell).await;
+        let entry = Entry::start_with_owner(&fake, None, cell).await;
         fake.set_delay(Duration::from_millis(300));
         assert!(wait_until(|| outcome_of(&fake) == Some(JobOutcome::Completed)).await);
         let answer = entry.ask("GET", "/a/job", None).await;
--- a/crates/jackdawpier_entry/tests/followed_configuration.rs
+++ b/crates/jackdawpier_entry/tests/followed_configuration.rs
@@ -64,7 +64,7 @@
     run(async {
         let fake = Fake::default();
         let active = start(&fake).await;
-        fake.set_cutting(true);
+        fake.end_watches_at_once(true);
         tokio::time::sleep(Duration::from_secs(2)).await;
         let before = fake.watches();
         tokio::time::sleep(Duration::from_secs(1)).await;
--- a/crates/jackdawpier_entry/tests/key_proof.rs
+++ b/crates/jackdawpier_entry/tests/key_proof.rs
@@ -8,9 +8,9 @@
     clock,
     configuration::{Active, follow},
     events::Events,
-    freshness::prove,
+    freshness::prove_configuration,
 };
-use support::{Fake, Fate, run, wait_until};
+use support::{Fake, WriteFault, run, wait_until};
 
 const KEY: &str = "configuration";
 const HOLDS_FOR: Duration = Duration::from_millis(2500);
@@ -20,7 +20,7 @@
     fake.put(KEY, document.as_bytes());
     let active = Active::new(Some(HOLDS_FOR));
     tokio::task::spawn_local(follow(fake.clone(), active.clone(), Events::new("a")));
-    tokio::task::spawn_local(prove(fake.clone(), active.clone(), Events::new("a")));
+    tokio::task::spawn_local(prove_configuration(fake.clone(), active.clone(), Events::new("a")));
     assert!(wait_until(|| active.get().is_some()).await);
     active
 }
@@ -46,7 +46,7 @@
     run(async {
         let fake = Fake::default();
         let active = start(&fake, "1 standing:shop").await;
-        fake.set_deaf(true);
+        fake.stall_watches(true);
         fake.put(KEY, b"2 other:shop");
         let version = || active.get().map(|current| current.version);
         assert!(wait_until(|| version() == Some(2)).await);
@@ -66,7 +66,7 @@
         assert!(!active.can_prove_keys(clock::now()));
         fake.set_down(false);
         let since = clock::now();
-        assert!(active.prove_since(since, Duration::from_secs(1)).await);
+        assert!(active.wait_for_proof_since(since, Duration::from_secs(1)).await);
         assert!(active.can_prove_keys(clock::now()));
     });
 }
@@ -77,7 +77,7 @@
     run(async {
         let fake = Fake::default();
         let active = start(&fake, "1 standing:shop").await;
-        fake.next_writes(&[Fate::AnswerLost; 20]);
+        fake.fail_next_writes(&[WriteFault::AnswerLost; 20]);
         for _ in 0..50 {
             tokio::time::sleep(Duration::from_millis(100)).await;
             assert!(active.can_prove_keys(clock::now()));
@@ -94,9 +94,9 @@
         let active = start(&fake, "1 standing:shop").await;
         let document_readings = || fake.reads_of(KEY) + fake.listings_of(KEY);
         let before = document_readings();
-        fake.next_writes(&[Fate::Refused; 200]);
+        fake.fail_next_writes(&[WriteFault::Refused; 200]);
         for _ in 0..20 {
-            active.prove_since(clock::now(), Duration::from_millis(100)).await;
+            active.wait_for_proof_since(clock::now(), Duration::from_millis(100)).await;
             assert!(active.can_prove_keys(clock::now()));
         }
         let readings = document_readings() - before;
@@ -112,7 +112,7 @@
         let active = start(&fake, "1 standing:shop").await;
         fake.set_delay(Duration::from_millis(1000));
         let since = clock::now();
-        assert!(active.prove_since(since, Duration::from_secs(4)).await);
+        assert!(active.wait_for_proof_since(since, Duration::from_secs(4)).await);
         assert!(active.proof_age().is_some_and(|age| age >= Duration::from_millis(990)));
     });
 }
@@ -129,7 +129,7 @@
             let (active, answered) = (active.clone(), answered.clone());
             tokio::task::spawn_local(async move {
                 tokio::time::sleep(Duration::from_millis(10 * number)).await;
-                if active.prove_since(clock::now(), Duration::from_millis(400)).await {
+                if active.wait_for_proof_since(clock::now(), Duration::from_millis(400)).await {
                     answered.set(answered.get() + 1);
                 }
             });
--- a/crates/jackdawpier_entry/tests/order_note.rs
+++ b/crates/jackdawpier_entry/tests/order_note.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 use jackdawpier_entry::keys;
-use support::{Fake, Fate, run, start_owner, wait_until};
+use support::{Fake, WriteFault, run, start_owner, wait_until};
 
 /// A machine that is due for maintenance is in the store's note before the order arrives.
 #[test]
 fn noted_before() {
     run(async {
         let fake = Fake::default();
-        fake.ask_for_maintenance();
+        fake.request_maintenance();
         let (_cell, _owning) = start_owner(&fake, "a");
         assert!(wait_until(|| !fake.machine_orders().is_empty()).await);
         for (machine, note) in fake.machine_orders() {
@@ -28,8 +28,8 @@
         let fake = Fake::default();
         let (_cell, _owning) = start_owner(&fake, "a");
         assert!(wait_until(|| fake.value(keys::OWNER).is_some()).await);
-        fake.next_writes(&[Fate::Lost; 400]);
-        fake.ask_for_maintenance();
+        fake.fail_next_writes(&[WriteFault::Lost; 400]);
+        fake.request_maintenance();
         tokio::time::sleep(Duration::from_millis(1200)).await;
         assert!(fake.machine_orders().is_empty());
     });
@@ -44,8 +44,8 @@
         let (_cell, _owning) = start_owner(&fake, "a");
         assert!(wait_until(|| fake.value(keys::OWNER).is_some()).await);
         tokio::time::sleep(Duration::from_millis(500)).await;
-        fake.next_writes(&[Fate::Hangs; 2]);
-        fake.ask_for_maintenance_of(3);
+        fake.fail_next_writes(&[WriteFault::Hangs; 2]);
+        fake.request_maintenance_of(3);
         tokio::time::sleep(Duration::from_millis(600)).await;
         fake.put("executors/executor-2", b"");
         // A list of machines that doesn't name it counts as its end only later.
@@ -60,7 +60,7 @@
 fn next_owner() {
     run(async {
         let fake = Fake::default();
-        fake.ask_for_maintenance();
+        fake.request_maintenance();
         fake.put(keys::MACHINE_ORDERS, br#"[{"machine":"machine-1","age_ms":0}]"#);
         let (_cell, _owning) = start_owner(&fake, "a");
         tokio::time::sleep(Duration::from_millis(2500)).await;
@@ -75,7 +75,7 @@
 fn old_orders() {
     run(async {
         let fake = Fake::default();
-        fake.ask_for_maintenance();
+        fake.request_maintenance();
         let (_cell, _owning) = start_owner(&fake, "a");
         assert!(wait_until(|| !fake.machine_orders().is_empty()).await);
         let names_none = || fake.value(keys::MACHINE_ORDERS).is_some_and(|note| note == b"[]");
@@ -92,8 +92,8 @@
         let (_cell, _owning) = start_owner(&fake, "a");
         assert!(wait_until(|| fake.value(keys::OWNER).is_some()).await);
         // The first write of the note holds the others up, and the fleet is lost meanwhile.
-        fake.next_writes(&[Fate::Hangs; 4]);
-        fake.ask_for_maintenance_of(100);
+        fake.fail_next_writes(&[WriteFault::Hangs; 4]);
+        fake.request_maintenance_of(100);
         tokio::time::sleep(Duration::from_millis(600)).await;
         fake.remove(keys::OWNER);
         let before = fake.reads();
--- a/crates/jackdawpier_entry/tests/owner.rs
+++ b/crates/jackdawpier_entry/tests/owner.rs
@@ -4,9 +4,11 @@
 
 use std::{rc::Rc, time::Duration};
 
-use jackdawpier_entry::{keys, pending::Pending};
+use jackdawpier_entry::{keys, pending::PendingCounter};
 use jackdawpier_fleet::{fleet::JobView, record::JobOutcome, spec::Resources};
-use support::{Fake, Fate, QUEUE, outcome, put_job, run, start_owner, submission, wait_until};
+use support::{
+    Fake, QUEUE, WriteFault, outcome, put_job, run, start_owner, submission, wait_until,
+};
 
 #[test]
 fn whole_path() {
@@ -27,9 +29,14 @@
         let fake = Fake::default();
         let (_cell, _owning) = start_owner(&fake, "a");
         assert!(wait_until(|| fake.value(keys::OWNER).is_some()).await);
-        let fates =
-            [Fate::AnswerLost, Fate::Lost, Fate::Refused, Fate::AnswerLost, Fate::AnswerLost];
-        fake.next_writes(&fates);
+        let fates = [
+            WriteFault::AnswerLost,
+            WriteFault::Lost,
+            WriteFault::Refused,
+            WriteFault::AnswerLost,
+            WriteFault::AnswerLost,
+        ];
+        fake.fail_next_writes(&fates);
         put_job(&fake, "j");
         assert!(wait_until(|| outcome(&fake, "j") == Some(JobOutcome::Completed)).await);
         assert_eq!(fake.starts().len(), 2, "no task is started twice");
@@ -74,7 +81,7 @@
         put_job(&fake, "j");
         put_job(&fake, "k");
         fake.put(&keys::cancellation("k"), b"{}");
-        assert_eq!(Pending::default().count(&fake, &QUEUE.into()).await, Ok(1));
+        assert_eq!(PendingCounter::default().count(&fake, &QUEUE.into()).await, Ok(1));
     });
 }
 
@@ -84,7 +91,7 @@
     run(async {
         let fake = Fake::default();
         put_job(&fake, "j");
-        let pending = Rc::new(Pending::default());
+        let pending = Rc::new(PendingCounter::default());
         let asking: Vec<_> = (0..20)
             .map(|_| {
                 let (fake, pending) = (fake.clone(), pending.clone());
@@ -110,7 +117,7 @@
             put_job(&fake, &format!("before-{number}"));
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        fake.set_deaf(true);
+        fake.stall_watches(true);
         for number in 0..10 {
             put_job(&fake, &format!("unheard-{number}"));
         }
--- a/crates/jackdawpier_entry/tests/ownership.rs
+++ b/crates/jackdawpier_entry/tests/ownership.rs
@@ -8,29 +8,29 @@
     configuration::Active,
     events::Events,
     keys,
-    owner::{OwnerCell, own_when_free},
-    ownership::{Candidate, acquire, ttl},
+    owner::{FleetHandle, compete_for_ownership},
+    ownership::{Candidate, acquire, lease_ttl},
     settings::EntrySettings,
 };
 use support::{
-    Fake, Fate, configuration, outcome, run, settings, start_owner, steady_speed, submission,
+    Fake, WriteFault, configuration, outcome, run, settings, start_owner, steady_speed, submission,
     wait_until,
 };
 
-fn candidate(entry: &str, life: &str, cpu_share: f64) -> Candidate {
+fn candidate(entry: &str, incarnation: &str, cpu_share: f64) -> Candidate {
     Candidate {
         entry: entry.to_owned(),
-        life: life.to_owned(),
+        incarnation: incarnation.to_owned(),
         cpu_share,
-        ttl: ttl(Duration::ZERO),
+        ttl: lease_ttl(Duration::ZERO),
     }
 }
 
 /// A store that grants no short leases gets asked for its shortest.
 #[test]
 fn shortest_lease() {
-    assert_eq!(ttl(Duration::from_secs(5)), Duration::from_secs(5));
-    assert!(ttl(Duration::from_secs(1)) >= Duration::from_secs(1));
+    assert_eq!(lease_ttl(Duration::from_secs(5)), Duration::from_secs(5));
+    assert!(lease_ttl(Duration::from_secs(1)) >= Duration::from_secs(1));
 }
 
 #[test]
@@ -98,7 +98,7 @@
 fn lost_answer() {
     run(async {
         let fake = Fake::default();
-        fake.next_writes(&[Fate::AnswerLost]);
+        fake.fail_next_writes(&[WriteFault::AnswerLost]);
         let term = acquire(&fake, &candidate("a", "1", 1.0)).await.expect("it answers");
         assert!(term.is_some());
     });
@@ -109,10 +109,10 @@
 fn late_write() {
     run(async {
         let fake = Fake::default();
-        fake.next_writes(&[Fate::Late]);
+        fake.fail_next_writes(&[WriteFault::Delayed]);
         assert!(acquire(&fake, &candidate("a", "1", 1.0)).await.expect("it answers").is_none());
         let other = acquire(&fake, &candidate("b", "1", 1.0)).await.expect("it answers");
-        fake.carry_out_late();
+        fake.apply_delayed_writes();
         assert!(other.expect("nobody owns").confirm(&fake).await);
     });
 }
@@ -143,7 +143,7 @@
         let fake = Fake::default();
         let term = acquire(&fake, &candidate("a", "1", 1.0)).await.expect("it answers");
         let term = term.expect("nobody owns");
-        tokio::time::sleep(ttl(Duration::ZERO) * 9 / 10).await;
+        tokio::time::sleep(lease_ttl(Duration::ZERO) * 9 / 10).await;
         assert!(!term.is_valid());
         assert!(term.renew(&fake).await.is_err());
         assert!(!term.is_valid());
@@ -179,9 +179,18 @@
         active.offer(configuration(1), 1);
         let entries = ["a", "b", "c"].map(|entry| {
             let settings = Rc::new(EntrySettings { cpu_share: 0.12, ..settings(entry) });
-            let (cell, events) = (OwnerCell::default(), Events::new(entry));
-            let (fake, active, life) = (fake.clone(), active.clone(), "life".to_owned());
-            let owning = own_when_free(fake, settings, active, cell, events, life, steady_speed());
+            let (cell, events) = (FleetHandle::default(), Events::new(entry));
+            let (fake, active, incarnation) =
+                (fake.clone(), active.clone(), "incarnation".to_owned());
+            let owning = compete_for_ownership(
+                fake,
+                settings,
+                active,
+                cell,
+                events,
+                incarnation,
+                steady_speed(),
+            );
             tokio::task::spawn_local(owning)
         });
         tokio::time::sleep(Duration::from_millis(1500)).await;
@@ -223,7 +232,7 @@
         let (_cell, _owning) = start_owner(&fake, "a");
         assert!(wait_until(|| fake.value(keys::OWNER).is_some()).await);
         let first = fake.revision(keys::OWNER);
-        fake.pause(Duration::from_millis(2200)).await;
+        fake.pause_store(Duration::from_millis(2200)).await;
         for _ in 0..120 {
             tokio::time::sleep(Duration::from_millis(10)).await;
             let now = fake.revision(keys::OWNER);
--- a/crates/jackdawpier_entry/tests/queue_counts.rs
+++ b/crates/jackdawpier_entry/tests/queue_counts.rs
@@ -4,9 +4,9 @@
 
 use std::{rc::Rc, time::Duration};
 
-use jackdawpier_entry::{clock, keys, pending::Pending};
+use jackdawpier_entry::{clock, keys, pending::PendingCounter};
 use serde_json::json;
-use support::{Fake, Fate, QUEUE, put_job, run};
+use support::{Fake, QUEUE, WriteFault, put_job, run};
 
 const ENTRIES: usize = 40;
 const JOBS: u64 = 200;
@@ -26,7 +26,7 @@
     let until = clock::now() + time;
     let asking: Vec<_> = (0..ENTRIES)
         .map(|_| {
-            let (fake, pending) = (fake.clone(), Rc::new(Pending::default()));
+            let (fake, pending) = (fake.clone(), Rc::new(PendingCounter::default()));
             tokio::task::spawn_local(async move {
                 let mut wrong = Vec::new();
                 while clock::now() < until {
@@ -87,7 +87,7 @@
         let fake = Fake::default();
         put_jobs(&fake);
         fake.set_delay(Duration::from_millis(40));
-        let pending = Pending::default();
+        let pending = PendingCounter::default();
         let queue = QUEUE.into();
         let asking = pending.count(&fake, &queue);
         let left = tokio::time::timeout(Duration::from_millis(150), asking);
@@ -139,7 +139,7 @@
         let fake = Fake::default();
         put_jobs(&fake);
         fake.set_delay(Duration::from_millis(500));
-        let pending = Pending::default();
+        let pending = PendingCounter::default();
         let queue = QUEUE.into();
         let mut answered = 0;
         for _ in 0..12 {
@@ -155,12 +155,12 @@
     run(async {
         let fake = Fake::default();
         put_jobs(&fake);
-        fake.next_writes(&[Fate::AnswerLost]);
+        fake.fail_next_writes(&[WriteFault::AnswerLost]);
         assert_eq!(count(&fake).await, Some(JOBS));
     });
 }
 
 /// Asks at an entry that knows nothing.
 async fn count(fake: &Fake) -> Option<u64> {
-    Pending::default().count(fake, &QUEUE.into()).await.ok()
+    PendingCounter::default().count(fake, &QUEUE.into()).await.ok()
 }
--- a/crates/jackdawpier_entry/tests/registry.rs
+++ b/crates/jackdawpier_entry/tests/registry.rs
@@ -49,10 +49,10 @@
         let (_cell, _owning) = start_owner(&fake, "a");
         put_job(&fake, "before");
         assert!(wait_until(|| outcome(&fake, "before").is_some()).await);
-        fake.set_deaf(true);
+        fake.stall_watches(true);
         fake.put(ENTRY, UNREADABLE);
         tokio::time::sleep(Duration::from_millis(1900)).await;
-        fake.set_deaf(false);
+        fake.stall_watches(false);
         put_job(&fake, "j");
         tokio::time::sleep(Duration::from_millis(500)).await;
         assert_eq!(fake.starts().len(), 2, "it isn't used");
--- a/crates/jackdawpier_entry/tests/shared_proof.rs
+++ b/crates/jackdawpier_entry/tests/shared_proof.rs
@@ -9,30 +9,30 @@
     clock,
     configuration::{Active, follow},
     events::Events,
-    freshness::prove,
+    freshness::prove_configuration,
     keys,
     ports::Item,
     shared_proof::{Reading, SharedProof},
 };
-use support::{CONFIGURATION, Fake, Fate, run, wait_until};
+use support::{CONFIGURATION, Fake, WriteFault, run, wait_until};
 use tokio::task::JoinHandle;
 
 const HOLDS_FOR: Duration = Duration::from_secs(5);
 const LOOK: Duration = Duration::from_millis(50);
 
 struct Prover {
-    way: Fake,
+    connection: Fake,
     active: Active,
     proving: JoinHandle<()>,
 }
 
 impl Prover {
     fn start(fake: &Fake, holds_for: Duration) -> Self {
-        let (way, active) = (fake.apart(), Active::new(Some(holds_for)));
-        tokio::task::spawn_local(follow(way.clone(), active.clone(), Events::new("a")));
-        let proving = prove(way.clone(), active.clone(), Events::new("a"));
+        let (connection, active) = (fake.with_own_connection(), Active::new(Some(holds_for)));
+        tokio::task::spawn_local(follow(connection.clone(), active.clone(), Events::new("a")));
+        let proving = prove_configuration(connection.clone(), active.clone(), Events::new("a"));
         let proving = tokio::task::spawn_local(proving);
-        Self { way, active, proving }
+        Self { connection, active, proving }
     }
 
     fn can_prove(&self) -> bool {
@@ -91,7 +91,7 @@
         let mut cuts = Vec::new();
         for (prover, version) in provers.iter().zip(2..) {
             tokio::time::sleep(Duration::from_millis(100)).await;
-            prover.way.cut();
+            prover.connection.disconnect();
             fake.put(CONFIGURATION, format!("{version} other:shop").as_bytes());
             cuts.push((clock::now(), prover));
         }
@@ -106,11 +106,11 @@
 #[test]
 fn late_reading() {
     let mut shared = SharedProof::default();
-    assert_eq!(shared.read(s(1), Some(&note(5, 3))), Reading::Nothing);
+    assert_eq!(shared.on_read(s(1), Some(&note(5, 3))), Reading::Inconclusive);
     // It is written at 2 s, and the key goes at 3 s.
     assert_eq!(
-        shared.read(s(4), Some(&note(6, 3))),
-        Reading::Stood { document: 3, at: s(1) },
+        shared.on_read(s(4), Some(&note(6, 3))),
+        Reading::Confirmed { document: 3, at: s(1) },
         "the time of an answer proves nothing"
     );
 }
@@ -119,9 +119,9 @@
 #[test]
 fn suspended() {
     let mut shared = SharedProof::default();
-    shared.read(s(1), Some(&note(5, 3)));
-    let reading = shared.read(s(11), Some(&note(9, 3)));
-    let Reading::Stood { at, .. } = reading else { panic!("{reading:?}") };
+    shared.on_read(s(1), Some(&note(5, 3)));
+    let reading = shared.on_read(s(11), Some(&note(9, 3)));
+    let Reading::Confirmed { at, .. } = reading else { panic!("{reading:?}") };
     let proof = Proof { asked_at: Some(at), holds_for: Some(HOLDS_FOR) };
     assert!(!proof.holds(s(11)));
 }
@@ -130,19 +130,19 @@
 #[test]
 fn unchanged_note() {
     let mut shared = SharedProof::default();
-    shared.read(s(1), Some(&note(5, 3)));
-    assert_eq!(shared.read(s(2), Some(&note(5, 3))), Reading::Unchanged);
-    let reading = shared.read(s(3), Some(&note(6, 3)));
-    assert_eq!(reading, Reading::Stood { document: 3, at: s(2) });
+    shared.on_read(s(1), Some(&note(5, 3)));
+    assert_eq!(shared.on_read(s(2), Some(&note(5, 3))), Reading::Unchanged);
+    let reading = shared.on_read(s(3), Some(&note(6, 3)));
+    assert_eq!(reading, Reading::Confirmed { document: 3, at: s(2) });
 }
 
 /// An answer that is older than one seen before doesn't make the next look like news.
 #[test]
 fn old_answer() {
     let mut shared = SharedProof::default();
-    shared.read(s(1), Some(&note(6, 3)));
-    assert_eq!(shared.read(s(2), Some(&note(5, 3))), Reading::Nothing);
-    assert_eq!(shared.read(s(3), Some(&note(6, 3))), Reading::Unchanged);
+    shared.on_read(s(1), Some(&note(6, 3)));
+    assert_eq!(shared.on_read(s(2), Some(&note(5, 3))), Reading::Inconclusive);
+    assert_eq!(shared.on_read(s(3), Some(&note(6, 3))), Reading::Unchanged);
 }
 
 /// Whoever writes stops, one after another: the others go on without a gap.
@@ -165,7 +165,7 @@
     run(async {
         let fake = Fake::default();
         let provers = start(&fake, 5, HOLDS_FOR).await;
-        fake.next_writes(&[Fate::AnswerLost; 100]);
+        fake.fail_next_writes(&[WriteFault::AnswerLost; 100]);
         all_prove(&provers, s(6)).await;
     });
 }
@@ -176,7 +176,7 @@
     run(async {
         let fake = Fake::default();
         let provers = start(&fake, 10, HOLDS_FOR).await;
-        fake.next_writes(&[Fate::Refused; 1000]);
+        fake.fail_next_writes(&[WriteFault::Refused; 1000]);
         let before = fake.commits();
         all_prove(&provers, s(6)).await;
         let writes = fake.commits() - before;
@@ -190,13 +190,13 @@
     run(async {
         let fake = Fake::default();
         let provers = start(&fake, 1, HOLDS_FOR).await;
-        fake.next_writes(&[Fate::Late]);
+        fake.fail_next_writes(&[WriteFault::Delayed]);
         let before = fake.commits();
         assert!(wait_until(|| fake.commits() > before).await);
-        provers[0].way.cut();
+        provers[0].connection.disconnect();
         fake.put(CONFIGURATION, b"2 other:shop");
         let revision = fake.revision(keys::PROOF);
-        fake.carry_out_late();
+        fake.apply_delayed_writes();
         assert_eq!(fake.revision(keys::PROOF), revision);
     });
 }
@@ -207,7 +207,7 @@
     run(async {
         let fake = Fake::default();
         let provers = start(&fake, 10, HOLDS_FOR).await;
-        fake.set_deaf(true);
+        fake.stall_watches(true);
         fake.put(CONFIGURATION, b"2 other:shop");
         let has_changed = |prover: &Prover| prover.active.get().is_some_and(|one| one.version == 2);
         assert!(wait_until(|| provers.iter().all(has_changed)).await);
--- a/crates/jackdawpier_entry/tests/speed.rs
+++ b/crates/jackdawpier_entry/tests/speed.rs
@@ -5,7 +5,7 @@
 use std::{cell::Cell, time::Duration};
 
 use jackdawpier_entry::{keys, speed::Speed};
-use support::{Fake, run, start_owner, start_owner_at, wait_until};
+use support::{Fake, run, start_owner, start_owner_with_speed, wait_until};
 
 thread_local! {
     /// What the computation takes on the machine that these tests slow down.
@@ -43,7 +43,7 @@
 fn slow_owner() {
     run(async {
         let fake = Fake::default();
-        let (_first, _owning) = start_owner_at(&fake, "slow", changing_speed());
+        let (_first, _owning) = start_owner_with_speed(&fake, "slow", changing_speed());
         assert!(wait_until(|| owner_name(&fake) == "slow").await);
         let (_second, _waiting) = start_owner(&fake, "other");
         tokio::time::sleep(Duration::from_millis(700)).await;
@@ -61,8 +61,8 @@
 fn all_slow() {
     run(async {
         let fake = Fake::default();
-        let (_first, _owning) = start_owner_at(&fake, "a", changing_speed());
-        let (_second, _waiting) = start_owner_at(&fake, "b", Speed::new(|| TAKES.get()));
+        let (_first, _owning) = start_owner_with_speed(&fake, "a", changing_speed());
+        let (_second, _waiting) = start_owner_with_speed(&fake, "b", Speed::new(|| TAKES.get()));
         assert!(wait_until(|| !owner_name(&fake).is_empty()).await);
         TAKES.set(Duration::from_micros(60));
         tokio::time::sleep(Duration::from_secs(5)).await;
--- a/crates/jackdawpier_entry/tests/support/entry.rs
+++ b/crates/jackdawpier_entry/tests/support/entry.rs
@@ -10,10 +10,10 @@
     callers::Callers,
     configuration::{Active, follow},
     events::Events,
-    freshness::prove,
+    freshness::prove_configuration,
     http_server::{InFlight, serve},
-    owner::OwnerCell,
-    pending::Pending,
+    owner::FleetHandle,
+    pending::PendingCounter,
 };
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
@@ -35,24 +35,28 @@
     /// Starts one whose keys have to be proved that often, and waits until it has a configuration, which
     /// is a plain one if the store holds none.
     pub async fn start(fake: &Fake, holds_for: Option<Duration>) -> Self {
-        Self::start_beside(fake, holds_for, OwnerCell::default()).await
+        Self::start_with_owner(fake, holds_for, FleetHandle::default()).await
     }
 
     /// The same with the fleet, while it owns it.
-    pub async fn start_beside(fake: &Fake, holds_for: Option<Duration>, owner: OwnerCell) -> Self {
+    pub async fn start_with_owner(
+        fake: &Fake,
+        holds_for: Option<Duration>,
+        owner: FleetHandle,
+    ) -> Self {
         if fake.value(CONFIGURATION).is_none() {
             fake.put(CONFIGURATION, b"1");
         }
         let active = Active::new(holds_for);
         let events = Events::new("a");
         tokio::task::spawn_local(follow(fake.clone(), active.clone(), events.clone()));
-        tokio::task::spawn_local(prove(fake.clone(), active.clone(), events.clone()));
+        tokio::task::spawn_local(prove_configuration(fake.clone(), active.clone(), events.clone()));
         let callers = Rc::new(Callers {
             platform: fake.clone(),
             active: active.clone(),
             intake: start_intake(fake),
             owner,
-            pending: Pending::default(),
+            pending: PendingCounter::default(),
             events: events.clone(),
         });
         let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has free ports");
--- a/crates/jackdawpier_entry/tests/support/fake.rs
+++ b/crates/jackdawpier_entry/tests/support/fake.rs
@@ -17,7 +17,7 @@
     clock, keys,
     ports::{
         CallError, CallResult, Change, Changes, Item, LeaseId, Listing, Store, Transaction,
-        TransactionEnd,
+        TransactionOutcome,
     },
 };
 use jackdawpier_fleet::{
@@ -31,11 +31,11 @@
 
 /// What becomes of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum WriteFault {
     /// Carried out, but the answer is lost.
     AnswerLost,
-    /// Not answered; carried out later, by [`Fake::carry_out_late`].
-    Late,
+    /// Not answered; carried out later, by [`Fake::apply_delayed_writes`].
+    Delayed,
     /// Not answered and never carried out.
     Lost,
     /// Turned away.
@@ -57,7 +57,7 @@
     revision: u64,
     leases: BTreeMap<LeaseId, (Now, Duration)>,
     next_lease: LeaseId,
-    fates: VecDeque<Fate>,
+    fates: VecDeque<WriteFault>,
     late: Vec<Transaction>,
     commits: usize,
     listings: usize,
@@ -109,11 +109,11 @@
 
 impl Fake {
     /// The next writes meet these fates; those after them succeed.
-    pub fn next_writes(&self, fates: &[Fate]) {
+    pub fn fail_next_writes(&self, fates: &[WriteFault]) {
         self.0.borrow_mut().fates.extend(fates);
     }
 
-    pub fn carry_out_late(&self) {
+    pub fn apply_delayed_writes(&self) {
         let late = std::mem::take(&mut self.0.borrow_mut().late);
         late.iter().for_each(|transaction| {
             self.apply(transaction);
@@ -121,12 +121,12 @@
     }
 
     /// The same platform over a way of its own.
-    pub fn apart(&self) -> Self {
+    pub fn with_own_connection(&self) -> Self {
         Self(self.0.clone(), Rc::default())
     }
 
     /// Cuts this way to the platform for good.
-    pub fn cut(&self) {
+    pub fn disconnect(&self) {
         self.1.set(true);
     }
 
@@ -135,7 +135,7 @@
     }
 
     /// The store is down for a while, and leases pause meanwhile.
-    pub async fn pause(&self, time: Duration) {
+    pub async fn pause_store(&self, time: Duration) {
         self.set_down(true);
         tokio::time::sleep(time).await;
         let mut state = self.0.borrow_mut();
@@ -144,12 +144,12 @@
     }
 
     /// Makes watches hear nothing, though changes are made.
-    pub fn set_deaf(&self, is_deaf: bool) {
+    pub fn stall_watches(&self, is_deaf: bool) {
         self.0.borrow_mut().is_deaf = is_deaf;
     }
 
     /// Cuts watches as soon as they wait: they answer at once that nothing has changed.
-    pub fn set_cutting(&self, is_cutting: bool) {
+    pub fn end_watches_at_once(&self, is_cutting: bool) {
         self.0.borrow_mut().is_cutting = is_cutting;
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// Half of the time that a call takes.
-    async fn travel(&self) {
+    async fn half_round_trip(&self) {
         let delay = self.0.borrow().delay;
         if !delay.is_zero() {
             tokio::time::sleep(delay / 2).await;
@@ -196,12 +196,12 @@
         self.0.borrow().commits
     }
 
-    pub fn ask_for_maintenance(&self) {
-        self.ask_for_maintenance_of(1);
+    pub fn request_maintenance(&self) {
+        self.request_maintenance_of(1);
     }
 
     /// A wave asks for so many machines at once.
-    pub fn ask_for_maintenance_of(&self, machines: usize) {
+    pub fn request_maintenance_of(&self, machines: usize) {
         self.0.borrow_mut().due = machines;
         self.put("wave/1", b"");
     }
@@ -265,7 +265,7 @@
         }
     }
 
-    fn apply(&self, transaction: &Transaction) -> TransactionEnd {
+    fn apply(&self, transaction: &Transaction) -> TransactionOutcome {
         self.expire();
         let mut state = self.0.borrow_mut();
         let holds = transaction.expect.iter().all(|(key, revision)| {
@@ -277,7 +277,7 @@
                 let (value, revision) = (held.value.clone(), held.revision);
                 Some(Item { key: key.clone(), value, revision })
             });
-            return TransactionEnd::Conflict(items.collect());
+            return TransactionOutcome::Conflict(items.collect());
         }
         state.revision += 1;
         let revision = state.revision;
@@ -288,7 +288,7 @@
         for key in &transaction.removes {
             state.items.remove(key);
         }
-        TransactionEnd::Committed(revision)
+        TransactionOutcome::Committed(revision)
     }
 
     /// Serves one reading of an item in so many and turns the others away, as a rate limit does.
@@ -324,7 +324,7 @@
     async fn get(&self, key: &str) -> CallResult<Option<Item>> {
         self.0.borrow_mut().reads += 1;
         *self.0.borrow_mut().reads_of.entry(key.to_owned()).or_default() += 1;
-        self.travel().await;
+        self.half_round_trip().await;
         self.check_up()?;
         self.check_rate()?;
         self.expire();
@@ -333,20 +333,20 @@
             value: held.value.clone(),
             revision: held.revision,
         });
-        self.travel().await;
+        self.half_round_trip().await;
         Ok(item)
     }
 
     async fn list(&self, prefix: &str) -> CallResult<Listing> {
         self.0.borrow_mut().reads += 1;
         *self.0.borrow_mut().listings_of.entry(prefix.to_owned()).or_default() += 1;
-        self.travel().await;
+        self.half_round_trip().await;
         let list_delay = self.0.borrow().list_delay;
         tokio::time::sleep(list_delay).await;
         let listing = self.items_under(prefix)?;
         let bytes: usize = listing.items.iter().map(|item| item.value.len()).sum();
         self.0.borrow_mut().listed_bytes += bytes;
-        self.travel().await;
+        self.half_round_trip().await;
         Ok(listing)
     }
 
@@ -375,8 +375,8 @@
         }
     }
 
-    async fn commit(&self, transaction: &Transaction) -> CallResult<TransactionEnd> {
-        self.travel().await;
+    async fn commit(&self, transaction: &Transaction) -> CallResult<TransactionOutcome> {
+        self.half_round_trip().await;
         self.check_up()?;
         self.0.borrow_mut().commits += 1;
         let fate = self.0.borrow_mut().fates.pop_front();
@@ -384,23 +384,23 @@
         match fate {
             None => {
                 let end = self.apply(transaction);
-                self.travel().await;
+                self.half_round_trip().await;
                 Ok(end)
             }
-            Some(Fate::AnswerLost) => {
+            Some(WriteFault::AnswerLost) => {
                 self.apply(transaction);
                 unanswered
             }
-            Some(Fate::Late) => {
+            Some(WriteFault::Delayed) => {
                 self.0.borrow_mut().late.push(transaction.clone());
                 unanswered
             }
-            Some(Fate::Lost) => unanswered,
-            Some(Fate::Hangs) => {
+            Some(WriteFault::Lost) => unanswered,
+            Some(WriteFault::Hangs) => {
                 tokio::time::sleep(CALL_PATIENCE).await;
                 unanswered
             }
-            Some(Fate::Refused) => Err(CallError::NotDone { reason: "busy".to_owned() }),
+            Some(WriteFault::Refused) => Err(CallError::NotDone { reason: "busy".to_owned() }),
         }
     }
 
@@ -414,7 +414,7 @@
     }
 
     async fn renew_lease(&self, lease: LeaseId) -> CallResult<()> {
-        self.travel().await;
+        self.half_round_trip().await;
         self.check_up()?;
         self.expire();
         {
@@ -422,7 +422,7 @@
             let (until, ttl) = state.leases.get_mut(&lease).ok_or(CallError::LeaseEnded)?;
             *until = clock::now() + *ttl;
         }
-        self.travel().await;
+        self.half_round_trip().await;
         Ok(())
     }
 
--- a/crates/jackdawpier_entry/tests/support/fake/outside.rs
+++ b/crates/jackdawpier_entry/tests/support/fake/outside.rs
@@ -7,7 +7,7 @@
     clock, keys,
     ports::{
         Advisor, Approval, CallResult, CallerLimits, Configuration, ExecutorControl, Formats,
-        HoldQuestion, MachineControl, Malformed, OrderTarget, Route, StartOrder,
+        HoldRequest, MachineControl, Malformed, OrderTarget, Route, StartOrder,
     },
 };
 use jackdawpier_fleet::{
@@ -50,7 +50,7 @@
         true
     }
 
-    async fn hold(&self, _: &OrderTarget, question: &HoldQuestion) -> CallResult<HoldReport> {
+    async fn hold(&self, _: &OrderTarget, question: &HoldRequest) -> CallResult<HoldReport> {
         tokio::time::sleep(Duration::from_millis(5)).await;
         let mut state = self.0.borrow_mut();
         state.ended.retain(|end| end.sequence > question.acknowledged);
@@ -71,7 +71,12 @@
         Ok((1..=self.0.borrow().due).map(info).collect())
     }
 
-    async fn order(&self, order: &MachineOrder, _holder: &str, _fence: u64) -> MachineOrderOutcome {
+    async fn send_order(
+        &self,
+        order: &MachineOrder,
+        _holder: &str,
+        _fence: u64,
+    ) -> MachineOrderOutcome {
         let note = self.value(keys::MACHINE_ORDERS);
         let note = note.map(|note| String::from_utf8_lossy(&note).into_owned());
         self.0.borrow_mut().machine_orders.push((order.machine.clone(), note));
@@ -98,7 +103,7 @@
         "executors/"
     }
 
-    fn wave_status(&self, state: &WaveState) -> (String, Vec<u8>) {
+    fn encode_wave_status(&self, state: &WaveState) -> (String, Vec<u8>) {
         (format!("wave-state/{}", state.number), Vec::new())
     }
 
@@ -149,15 +154,15 @@
         !text.is_empty()
     }
 
-    fn job_view(&self, view: JobView) -> Vec<u8> {
+    fn encode_job_view(&self, view: JobView) -> Vec<u8> {
         format!("{view:?}").into_bytes()
     }
 
-    fn pending(&self, count: u64) -> Vec<u8> {
+    fn encode_pending_count(&self, count: u64) -> Vec<u8> {
         count.to_string().into_bytes()
     }
 
-    fn problem(&self, text: &str) -> Vec<u8> {
+    fn encode_error(&self, text: &str) -> Vec<u8> {
         text.as_bytes().to_vec()
     }
 
--- a/crates/jackdawpier_entry/tests/support/mod.rs
+++ b/crates/jackdawpier_entry/tests/support/mod.rs
@@ -13,7 +13,7 @@
     configuration::Active,
     events::Events,
     keys,
-    owner::{OwnerCell, own_when_free},
+    owner::{FleetHandle, compete_for_ownership},
     settings::EntrySettings,
     speed::Speed,
 };
@@ -23,7 +23,7 @@
 };
 
 pub use entry::Entry;
-pub use fake::{CONFIGURATION, EXECUTOR, Fake, Fate, QUEUE, UNREADABLE, configuration};
+pub use fake::{CONFIGURATION, EXECUTOR, Fake, QUEUE, UNREADABLE, WriteFault, configuration};
 
 pub fn submission() -> Submission {
     let step = StepSpec {
@@ -79,8 +79,8 @@
 }
 
 /// An entry that owns the fleet of one executor as soon as nobody else does.
-pub fn start_owner(fake: &Fake, entry: &str) -> (OwnerCell, tokio::task::JoinHandle<()>) {
-    start_owner_at(fake, entry, steady_speed())
+pub fn start_owner(fake: &Fake, entry: &str) -> (FleetHandle, tokio::task::JoinHandle<()>) {
+    start_owner_with_speed(fake, entry, steady_speed())
 }
 
 /// A machine that always runs at its best.
@@ -89,17 +89,25 @@
 }
 
 /// The same on a machine with this speed.
-pub fn start_owner_at(
+pub fn start_owner_with_speed(
     fake: &Fake,
     entry: &str,
     speed: Speed,
-) -> (OwnerCell, tokio::task::JoinHandle<()>) {
+) -> (FleetHandle, tokio::task::JoinHandle<()>) {
     fake.put("executors/executor-1", b"");
     let active = Active::default();
     active.offer(configuration(1), 1);
-    let (cell, events) = (OwnerCell::default(), Events::new(entry));
-    let (settings, life) = (Rc::new(settings(entry)), "life".to_owned());
-    let owning = own_when_free(fake.clone(), settings, active, cell.clone(), events, life, speed);
+    let (cell, events) = (FleetHandle::default(), Events::new(entry));
+    let (settings, incarnation) = (Rc::new(settings(entry)), "incarnation".to_owned());
+    let owning = compete_for_ownership(
+        fake.clone(),
+        settings,
+        active,
+        cell.clone(),
+        events,
+        incarnation,
+        speed,
+    );
     (cell, tokio::task::spawn_local(owning))
 }
 
