--- a/crates/jackdawpier_entry/src/access.rs
+++ b/crates/jackdawpier_entry/src/access.rs
@@ -75,14 +75,14 @@
     /// When the latest question left whose answer shows it; none before the first.
     pub asked_at: Option<Now>,
     /// For how long after it a key may be relied on; none for as long as the entry hears of no change.
-    pub holds_for: Option<Duration>,
+    pub valid_for: Option<Duration>,
 }
 
 impl Proof {
     /// Whether a key that stands in the configuration may be relied on.
     pub fn holds(&self, now: Now) -> bool {
-        let Some(holds_for) = self.holds_for else { return true };
-        let usable = holds_for * (100 - RATE_MARGIN_PERCENT) / 100;
+        let Some(valid_for) = self.valid_for else { return true };
+        let usable = valid_for * (100 - RATE_MARGIN_PERCENT) / 100;
         self.asked_at.is_some_and(|asked_at| now < asked_at + usable)
     }
 
@@ -98,16 +98,16 @@
     /// It may, in the name of this client account; none where no key is asked for.
     Granted(Option<AccountName>),
     /// It shows no key though one is asked for.
-    NoKey,
+    MissingKey,
     /// Its key didn't stand when it arrived.
     UnknownKey,
     /// Whether its key stands can't be said before the store has been asked again.
-    Unproved,
+    Unverified,
 }
 
 /// Judges a request that arrived at `arrived_at`. `now` has to be read after the request was, so that it
 /// was sent before.
-pub fn judge(
+pub fn check_access(
     configuration: &Configuration,
     route: &Route,
     key: Option<&ApiKey>,
@@ -118,11 +118,11 @@
     let Some(keys) = configuration.keys.as_ref().filter(|_| !route.is_public) else {
         return Access::Granted(None);
     };
-    let Some(key) = key else { return Access::NoKey };
+    let Some(key) = key else { return Access::MissingKey };
     match keys.account(key) {
         Some(account) if proof.holds(now) => Access::Granted(Some(account.clone())),
         // A newer configuration than this one may name it.
         None if proof.is_since(arrived_at) => Access::UnknownKey,
-        Some(_) | None => Access::Unproved,
+        Some(_) | None => Access::Unverified,
     }
 }
--- a/crates/jackdawpier_entry/src/callers.rs
+++ b/crates/jackdawpier_entry/src/callers.rs
@@ -25,17 +25,17 @@
 
 use crate::{
     acceptance::{Acceptance, Intake},
-    access::{Access, ApiKey, judge},
+    access::{Access, ApiKey, check_access},
     clock,
-    configuration::Active,
+    configuration::ActiveConfiguration,
     events::Events,
     http_server::Reply,
+    job_query::JobQuery,
     keys,
     metrics::Latency,
     owner::FleetHandle,
     pending::PendingCounter,
     ports::{CallError, CallerLimits, Item, Platform, Route, Transaction, TransactionOutcome},
-    question::Question,
 };
 
 /// How long a caller is taken to wait if it doesn't say.
@@ -56,11 +56,11 @@
 
 /// What answering callers needs.
 #[derive(Debug)]
-pub struct Callers<P> {
+pub struct CallerApi<P> {
     /// The outside.
     pub platform: P,
     /// The configuration in force.
-    pub active: Active,
+    pub active: ActiveConfiguration,
     /// Where jobs are handed in.
     pub intake: Intake,
     /// The fleet, while this entry owns it.
@@ -71,7 +71,7 @@
     pub events: Events,
 }
 
-impl<P: Platform> Callers<P> {
+impl<P: Platform> CallerApi<P> {
     /// Answers one request.
     pub async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Reply {
         let path = request.uri().path().to_owned();
@@ -89,18 +89,18 @@
         let credentials = Credentials { key, arrived_at, deadline };
         let id = path[route.prefix.len()..].to_owned();
         let named = if id.is_empty() { &path } else { &id };
-        let mut question = Question::new(arrived_at);
+        let mut query = JobQuery::new(arrived_at);
         let account = match self.admit(named, &route, &credentials).await {
             Ok(account) => account,
             Err(reply) => {
                 if *request.method() == Method::GET {
                     let proof_age = self.active.proof_age();
-                    question.answered(&self.events, named, reply.status(), proof_age);
+                    query.answered(&self.events, named, reply.status(), proof_age);
                 }
                 return reply;
             }
         };
-        question.admit();
+        query.admit();
         if id.is_empty() && request.method() == Method::GET {
             return self.pending(&route.queue.name).await;
         }
@@ -113,9 +113,7 @@
             Method::POST => {
                 self.submit(&route, id, request, configuration.limits, &credentials).await
             }
-            Method::GET => {
-                self.look(&id, account.as_ref(), store_deadline(deadline), question).await
-            }
+            Method::GET => self.look(&id, account.as_ref(), store_deadline(deadline), query).await,
             Method::DELETE => self.cancel(&id, account.as_ref(), store_deadline(deadline)).await,
             _ => self.problem(&id, StatusCode::METHOD_NOT_ALLOWED, "POST, GET or DELETE"),
         }
@@ -135,17 +133,17 @@
                 return Err(self.refuse(id, "no configuration yet"));
             };
             let (proof, now) = (self.active.proof(), clock::now());
-            let access = judge(&configuration, route, key.as_ref(), proof, *arrived_at, now);
+            let access = check_access(&configuration, route, key.as_ref(), proof, *arrived_at, now);
             match access {
                 Access::Granted(account) => return Ok(account),
-                Access::NoKey => {
+                Access::MissingKey => {
                     return Err(self.problem(id, StatusCode::UNAUTHORIZED, "a key is needed"));
                 }
                 Access::UnknownKey => {
                     let why = "the key isn't known; nothing was done";
                     return Err(self.problem(id, StatusCode::UNAUTHORIZED, why));
                 }
-                Access::Unproved => {
+                Access::Unverified => {
                     // One from between the request's arrival and now may be too old already.
                     let patience = give_up_at.saturating_sub(now);
                     if !self.active.wait_for_proof_since(now, patience).await {
@@ -199,7 +197,7 @@
         let submission = Submission { queue: queue.clone(), settings, account, accepted_ms, spec };
         let arrived_at = clock::now();
         let unanswered = self.intake.unanswered_since();
-        if let Some(since) = unanswered.filter(|at| !self.active.is_heard_since(*at)) {
+        if let Some(since) = unanswered.filter(|at| !self.active.has_store_answered_since(*at)) {
             let silent_ms = clock::since(since).as_millis() as u64;
             let fields = json!({
                 "job": *id,
@@ -212,7 +210,7 @@
             return self.refuse(&id, "the store doesn't answer");
         }
         let fate = self.intake.submit(id.clone(), &submission, deadline).await;
-        self.events.metrics().took(Latency::Acceptance, clock::since(arrived_at));
+        self.events.metrics().observe(Latency::Acceptance, clock::since(arrived_at));
         let took_ms = clock::since(arrived_at).as_millis() as u64;
         let fate_name = format!("{fate:?}");
         let fields = json!({
@@ -240,26 +238,26 @@
         id: &JobId,
         account: Option<&AccountName>,
         deadline: Now,
-        mut question: Question,
+        mut query: JobQuery,
     ) -> Reply {
         let reply = match self.owner.job_with_account(id) {
             Some(known) => {
-                let (view, owner) = self.with_end(id, known, &mut question).await;
+                let (view, owner) = self.with_end(id, known, &mut query).await;
                 self.show(id, view, owner.as_ref(), account)
             }
-            None => self.look_until(id, account, deadline, &mut question).await,
+            None => self.look_until(id, account, deadline, &mut query).await,
         };
-        question.answered(&self.events, id, reply.status(), self.active.proof_age());
+        query.answered(&self.events, id, reply.status(), self.active.proof_age());
         reply
     }
 
     /// What is told of a job that this entry owns. Where its end is on its way to the store, other entries may
     /// tell of it already, so the store has the last word if it can be had.
-    async fn with_end(&self, id: &JobId, known: KnownJob, question: &mut Question) -> KnownJob {
+    async fn with_end(&self, id: &JobId, known: KnownJob, query: &mut JobQuery) -> KnownJob {
         if !self.owner.is_ending(id) {
             return known;
         }
-        question.asks_store();
+        query.asks_store();
         self.look_at_record(id).await.ok().flatten().unwrap_or(known)
     }
 
@@ -268,15 +266,15 @@
         id: &JobId,
         account: Option<&AccountName>,
         deadline: Now,
-        question: &mut Question,
+        query: &mut JobQuery,
     ) -> Reply {
-        question.asks_store();
+        query.asks_store();
         let mut step = LookStep::Record;
         loop {
             match self.look_in_store(id, &mut step).await {
                 Ok(Some((view, owner))) => return self.show(id, view, owner.as_ref(), account),
                 Ok(None) => return self.problem(id, StatusCode::GONE, "no such job"),
-                Err(error) => question.failed(error),
+                Err(error) => query.failed(error),
             }
             if clock::now() + REPEAT_PAUSE >= deadline {
                 return self.refuse(id, "the store can't be reached");
--- a/crates/jackdawpier_entry/src/configuration.rs
+++ b/crates/jackdawpier_entry/src/configuration.rs
@@ -8,11 +8,11 @@
 
 use crate::{
     access::Proof,
-    arrivals::Arrivals,
     clock,
     events::Events,
     freshness,
     ports::{CallError, CallResult, Change, Configuration, Item, Platform, Route},
+    response_progress::ResponseProgress,
 };
 
 /// How long a watch waits for a change, which has to be in force within two seconds. Reading the whole
@@ -38,12 +38,12 @@
     heard_at: Option<Now>,
     proof: Proof,
     /// Answers with the document that are on their way.
-    arrivals: Arrivals,
+    arrivals: ResponseProgress,
 }
 
 /// The configuration in force.
 #[derive(Debug, Clone, Default)]
-pub struct Active {
+pub struct ActiveConfiguration {
     state: Rc<RefCell<State>>,
     /// Somebody waits for a newer proof.
     wanted: Rc<Notify>,
@@ -51,11 +51,11 @@
     proved: Rc<Notify>,
 }
 
-impl Active {
+impl ActiveConfiguration {
     /// The configuration of an entry whose keys have to be proved that often; none for never.
-    pub fn new(holds_for: Option<Duration>) -> Self {
+    pub fn new(valid_for: Option<Duration>) -> Self {
         let active = Self::default();
-        active.state.borrow_mut().proof.holds_for = holds_for;
+        active.state.borrow_mut().proof.valid_for = valid_for;
         active
     }
 
@@ -70,36 +70,36 @@
     }
 
     /// Whether the store has answered lately, so that the configuration is known to be current, or is answering.
-    pub fn is_in_touch(&self, now: Now) -> bool {
+    pub fn is_current(&self, now: Now) -> bool {
         let state = self.state.borrow();
         let is_fresh = |at: Now| now.saturating_sub(at) < OUT_OF_TOUCH_AFTER;
-        let last_sign = state.heard_at.max(state.arrivals.last_at());
+        let last_sign = state.heard_at.max(state.arrivals.last_received_at());
         state.current.is_some() && last_sign.is_some_and(is_fresh)
     }
 
     /// Has answers with the document noted while they come.
-    pub(crate) fn note(&self, arrivals: Arrivals) {
+    pub(crate) fn set_progress(&self, arrivals: ResponseProgress) {
         self.state.borrow_mut().arrivals = arrivals;
     }
 
     /// Whether an answer with the document has begun to come and isn't whole yet.
     pub(crate) fn is_receiving(&self) -> bool {
-        self.state.borrow().arrivals.is_under_way()
+        self.state.borrow().arrivals.is_in_progress()
     }
 
     /// Whether the store has answered a question that was asked after `at`.
-    pub fn is_heard_since(&self, at: Now) -> bool {
+    pub fn has_store_answered_since(&self, at: Now) -> bool {
         self.state.borrow().heard_at.is_some_and(|heard_at| heard_at > at)
     }
 
     /// The store has answered a question that was asked at `asked_at`.
-    pub fn heard(&self, asked_at: Now) {
+    pub fn on_store_answer(&self, asked_at: Now) {
         let mut state = self.state.borrow_mut();
         state.heard_at = state.heard_at.max(Some(asked_at));
     }
 
     /// Whether callers need keys.
-    pub fn asks_for_keys(&self) -> bool {
+    pub fn requires_keys(&self) -> bool {
         self.state.borrow().current.as_ref().is_some_and(|current| current.keys.is_some())
     }
 
@@ -111,36 +111,36 @@
     /// How long ago the configuration was last known to be the newest; none before the first proof, and
     /// where no keys are asked for.
     pub fn proof_age(&self) -> Option<Duration> {
-        self.proof().asked_at.filter(|_| self.asks_for_keys()).map(clock::since)
+        self.proof().asked_at.filter(|_| self.requires_keys()).map(clock::since)
     }
 
     /// Whether callers with a key that stands can be served.
-    pub fn can_prove_keys(&self, now: Now) -> bool {
-        !self.asks_for_keys() || self.proof().holds(now)
+    pub fn can_verify_keys(&self, now: Now) -> bool {
+        !self.requires_keys() || self.proof().holds(now)
     }
 
     /// A question that left at `asked_at` has shown that the configuration in force was the newest.
-    pub(crate) fn proved(&self, asked_at: Now) {
+    pub(crate) fn on_proof(&self, asked_at: Now) {
         let last = self.proof().asked_at.unwrap_or_default();
         self.state.borrow_mut().proof.asked_at = Some(last.max(asked_at));
         self.proved.notify_waiters();
     }
 
     /// Asks for a newer proof and waits for one.
-    pub(crate) async fn want_proof(&self) {
+    pub(crate) async fn request_proof(&self) {
         let proved = self.proved.notified();
         self.wanted.notify_one();
         proved.await;
     }
 
     /// Waits until somebody asks for a newer proof.
-    pub(crate) async fn proof_wanted(&self) {
+    pub(crate) async fn proof_requested(&self) {
         self.wanted.notified().await;
     }
 
     /// Takes over a version if it is higher than the one in force, and returns whether it is. The same
     /// version may be written again; then its latest writing stands.
-    pub fn offer(&self, configuration: Configuration, revision: Revision) -> bool {
+    pub fn adopt_if_newer(&self, configuration: Configuration, revision: Revision) -> bool {
         let mut state = self.state.borrow_mut();
         let known = state.current.as_ref().map(|current| current.version);
         let is_newer = known.is_none_or(|version| configuration.version > version);
@@ -183,8 +183,8 @@
 
 /// Follows the configuration for as long as the process lives. It is read whole only where nothing less tells
 /// whether it has changed: it may be large, and each instance of hundreds reads it over one link of the store.
-pub async fn follow<P: Platform>(platform: P, active: Active, events: Events) {
-    active.note(platform.arrivals());
+pub async fn follow<P: Platform>(platform: P, active: ActiveConfiguration, events: Events) {
+    active.set_progress(platform.arrivals());
     let mut was_in_touch = false;
     let mut position = None;
     loop {
@@ -208,11 +208,11 @@
                 }
             }
         }
-        let is_in_touch = active.is_in_touch(clock::now());
-        if is_in_touch != was_in_touch {
-            let event = if is_in_touch { "store_regained" } else { "store_lost" };
+        let is_current = active.is_current(clock::now());
+        if is_current != was_in_touch {
+            let event = if is_current { "store_regained" } else { "store_lost" };
             events.emit(event, json!({ "revision": active.revision() }));
-            was_in_touch = is_in_touch;
+            was_in_touch = is_current;
         }
         if active.get().is_none() {
             tokio::time::sleep(REPEAT_PAUSE).await;
@@ -230,7 +230,7 @@
 /// Makes sure that nothing was missed, by what proves the keys if that was done lately.
 async fn check<P: Platform>(
     platform: &P,
-    active: &Active,
+    active: &ActiveConfiguration,
     events: &Events,
     from: Position,
 ) -> CallResult<Position> {
@@ -244,14 +244,18 @@
 }
 
 /// Reads the configuration as it is.
-async fn read<P: Platform>(platform: &P, active: &Active, events: &Events) -> CallResult<Position> {
+async fn read<P: Platform>(
+    platform: &P,
+    active: &ActiveConfiguration,
+    events: &Events,
+) -> CallResult<Position> {
     let read_at = clock::now();
     let listing = platform.list(platform.configuration_key()).await?;
-    active.heard(read_at);
-    listing.items.iter().for_each(|item| take_item(platform, active, events, item));
+    active.on_store_answer(read_at);
+    listing.items.iter().for_each(|item| adopt_item(platform, active, events, item));
     let key = platform.configuration_key();
     if listing.items.iter().any(|item| item.key == key && item.revision == active.revision()) {
-        active.proved(read_at);
+        active.on_proof(read_at);
     }
     Ok(Position { revision: listing.revision, checked_at: Some(read_at) })
 }
@@ -259,13 +263,13 @@
 /// Waits a while for a change.
 async fn watch<P: Platform>(
     platform: &P,
-    active: &Active,
+    active: &ActiveConfiguration,
     events: &Events,
     from: Position,
 ) -> CallResult<Position> {
     let asked_at = clock::now();
     let key = platform.configuration_key();
-    let wait = if active.asks_for_keys() { PROVED_WATCH_WAIT } else { WATCH_WAIT };
+    let wait = if active.requires_keys() { PROVED_WATCH_WAIT } else { WATCH_WAIT };
     // A proof may have brought what the watch hasn't told of yet.
     let after = from.revision.max(active.revision());
     let news = platform.watch(key, after, wait).await?;
@@ -273,20 +277,25 @@
     // An answer without news left the store when the wait was over, and nothing had changed by then; one
     // that came sooner was cut short and says no more than that the store was asked.
     let is_waited_for = news.changes.is_empty() && took >= wait;
-    active.heard(if is_waited_for { asked_at + wait } else { asked_at });
+    active.on_store_answer(if is_waited_for { asked_at + wait } else { asked_at });
     if news.changes.is_empty() && !is_waited_for {
         tokio::time::sleep(REPEAT_PAUSE).await;
     }
     for change in &news.changes {
         if let Change::Put(item) = change {
-            take_item(platform, active, events, item);
+            adopt_item(platform, active, events, item);
         }
     }
     Ok(Position { revision: news.revision, ..from })
 }
 
 /// Takes an item of the store over if it is a newer configuration.
-pub(crate) fn take_item<P: Platform>(platform: &P, active: &Active, events: &Events, item: &Item) {
+pub(crate) fn adopt_item<P: Platform>(
+    platform: &P,
+    active: &ActiveConfiguration,
+    events: &Events,
+    item: &Item,
+) {
     if item.key == platform.configuration_key() && item.revision != active.revision() {
         take(platform, active, events, &item.value, item.revision);
     }
@@ -294,7 +303,7 @@
 
 fn take<P: Platform>(
     platform: &P,
-    active: &Active,
+    active: &ActiveConfiguration,
     events: &Events,
     value: &[u8],
     revision: Revision,
@@ -302,7 +311,7 @@
     match platform.read_configuration(value) {
         Ok(configuration) => {
             let (version, routes) = (configuration.version, configuration.routes.len());
-            if active.offer(configuration, revision) {
+            if active.adopt_if_newer(configuration, revision) {
                 let fields = json!({ "version": version, "revision": revision, "routes": routes });
                 events.emit("configuration", fields);
             }
--- a/crates/jackdawpier_entry/src/connections.rs
+++ b/crates/jackdawpier_entry/src/connections.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionLimits {
     /// Open connections; beyond it the one that has been idle longest makes room for a new one.
-    pub most: usize,
+    pub max_open: usize,
     /// Time for a head to be whole after its first byte.
     pub header_timeout: Duration,
     /// Time for which callers may count on an idle connection, and for an answer to be taken.
@@ -46,7 +46,7 @@
 impl Default for ConnectionLimits {
     fn default() -> Self {
         Self {
-            most: MOST_CONNECTIONS,
+            max_open: MOST_CONNECTIONS,
             header_timeout: DEFAULT_HEADER_TIMEOUT,
             idle_timeout: DEFAULT_IDLE_TIMEOUT,
             idle_margin: IDLE_MARGIN,
@@ -73,9 +73,9 @@
     /// Closed after the idle timeout.
     pub idle_closed: u64,
     /// Idle ones closed to make room.
-    pub closed_for_room: u64,
+    pub evicted: u64,
     /// Broken off, since the rest of a head didn't come or an answer wasn't taken.
-    pub broken_off: u64,
+    pub aborted: u64,
 }
 
 /// What a connection is in the middle of.
@@ -224,11 +224,11 @@
 
     /// Ends connections that have waited for too long, for ever. Changed limits count from the next
     /// look, which is never later than the shortest of the former ones.
-    pub(crate) async fn end_overdue(&self, limits: impl Fn() -> ConnectionLimits) {
+    pub(crate) async fn close_overdue(&self, limits: impl Fn() -> ConnectionLimits) {
         loop {
             let (limits, now) = (limits(), clock::now());
             let pause = [Phase::Idle, Phase::Head, Phase::Answered]
-                .map(|phase| self.0.end_overdue(phase, now, limits.of_phase(phase)));
+                .map(|phase| self.0.close_overdue(phase, now, limits.of_phase(phase)));
             let pause = pause.into_iter().min().unwrap_or_default();
             tokio::time::sleep(pause.max(SHORTEST_PAUSE)).await;
         }
@@ -257,7 +257,7 @@
 
     /// Ends the connections that have waited in a phase for `limit`; returns the time until the next
     /// one may have.
-    fn end_overdue(&self, phase: Phase, now: Now, limit: Duration) -> Duration {
+    fn close_overdue(&self, phase: Phase, now: Now, limit: Duration) -> Duration {
         while let Some(place) = self.first(phase) {
             let left = limit.saturating_sub(now.saturating_sub(place.since));
             if !left.is_zero() {
@@ -346,8 +346,8 @@
         let is_idle = self.state.phase.get() == Phase::Idle;
         self.shared.count(|counts| match self.state.ending.get() {
             Some(Ending::Overdue) if is_idle => counts.idle_closed += 1,
-            Some(Ending::Overdue) => counts.broken_off += 1,
-            Some(Ending::Room) => counts.closed_for_room += 1,
+            Some(Ending::Overdue) => counts.aborted += 1,
+            Some(Ending::Room) => counts.evicted += 1,
             Some(Ending::Stop) | None => {}
         });
         if is_idle { Close::InOrder } else { Close::BreakOff }
--- a/crates/jackdawpier_entry/src/freshness.rs
+++ b/crates/jackdawpier_entry/src/freshness.rs
@@ -14,7 +14,7 @@
 
 use crate::{
     clock,
-    configuration::{Active, take_item},
+    configuration::{ActiveConfiguration, adopt_item},
     events::Events,
     ports::{CallError, CallResult, Item, Platform, Transaction, TransactionOutcome},
     shared_proof::{self, Reading, SharedProof},
@@ -41,13 +41,17 @@
 const HELD_BACK_PAUSE: Duration = Duration::from_millis(400);
 
 /// Proves the configuration for as long as the process lives, where keys are asked for.
-pub async fn prove_configuration<P: Platform>(platform: P, active: Active, events: Events) {
+pub async fn prove_configuration<P: Platform>(
+    platform: P,
+    active: ActiveConfiguration,
+    events: Events,
+) {
     let mut was_proved = true;
     let mut prover = Prover::new(platform, active.clone(), events.clone());
     loop {
         // Whether it is time or a caller that waits decides how to ask.
-        let is_wanted = timeout(prover.pause(), active.proof_wanted()).await.is_ok();
-        if !active.asks_for_keys() {
+        let is_wanted = timeout(prover.pause(), active.proof_requested()).await.is_ok();
+        if !active.requires_keys() {
             tokio::time::sleep(LEAST_PAUSE).await;
             continue;
         }
@@ -71,7 +75,12 @@
 }
 
 /// Keys can be vouched for from now on, or can't any more.
-fn report(is_proved: bool, outcome: &CallResult<()>, active: &Active, events: &Events) {
+fn report(
+    is_proved: bool,
+    outcome: &CallResult<()>,
+    active: &ActiveConfiguration,
+    events: &Events,
+) {
     let event = if is_proved { "keys_proved" } else { "keys_unproved" };
     let age_ms = active.proof_age().map(|age| age.as_millis() as u64);
     let why = outcome.as_ref().err().map(ToString::to_string);
@@ -80,7 +89,7 @@
 
 /// Waits while the changed configuration is on its way: what is in force can't be proved any more, and a second copy
 /// would halve the speed of the first.
-async fn wait_for_arrivals(active: &Active) {
+async fn wait_for_arrivals(active: &ActiveConfiguration) {
     while active.is_receiving() {
         tokio::time::sleep(ARRIVAL_LOOK).await;
     }
@@ -89,7 +98,7 @@
 /// Asks once whether the configuration has changed, and takes a newer one over.
 pub(crate) async fn check_for_change<P: Platform>(
     platform: &P,
-    active: &Active,
+    active: &ActiveConfiguration,
     events: &Events,
 ) -> CallResult<()> {
     let asked_at = clock::now();
@@ -97,15 +106,15 @@
     let expect = vec![(key.to_owned(), active.revision())];
     let nothing = Transaction { expect, ..Transaction::default() };
     let end = platform.commit(&nothing).await?;
-    active.heard(asked_at);
+    active.on_store_answer(asked_at);
     if let TransactionOutcome::Conflict(items) = end {
         let Some(newest) = items.into_iter().find(|item| item.key == key) else { return Ok(()) };
-        take_item(platform, active, events, &newest);
+        adopt_item(platform, active, events, &newest);
         if newest.revision != active.revision() {
             return Ok(());
         }
     }
-    active.proved(asked_at);
+    active.on_proof(asked_at);
     Ok(())
 }
 
@@ -123,7 +132,7 @@
 /// What keeps proving at one entry.
 struct Prover<P> {
     platform: P,
-    active: Active,
+    active: ActiveConfiguration,
     events: Events,
     shared: SharedProof,
     next: Next,
@@ -138,7 +147,7 @@
 }
 
 impl<P: Platform> Prover<P> {
-    fn new(platform: P, active: Active, events: Events) -> Self {
+    fn new(platform: P, active: ActiveConfiguration, events: Events) -> Self {
         Self {
             platform,
             active,
@@ -206,12 +215,12 @@
     async fn look(&mut self) -> CallResult<Reading> {
         let asked_at = clock::now();
         let item = shared_proof::read_note(&self.platform).await?;
-        self.active.heard(asked_at);
+        self.active.on_store_answer(asked_at);
         let reading = self.shared.on_read(asked_at, item.as_ref());
         if let Reading::Confirmed { document, at } = reading {
             self.told = self.told.max(document);
             if document == self.active.revision() {
-                self.active.proved(at);
+                self.active.on_proof(at);
                 self.next = Next::Look;
             }
         }
@@ -226,8 +235,8 @@
             Ok(TransactionOutcome::Committed(revision)) => {
                 self.shared.on_written(asked_at, revision);
                 self.told = self.told.max(document);
-                self.active.heard(asked_at);
-                self.active.proved(asked_at);
+                self.active.on_store_answer(asked_at);
+                self.active.on_proof(asked_at);
                 self.next = Next::Look;
                 Ok(())
             }
@@ -253,7 +262,7 @@
     /// Reads the configuration where neither writes nor the note have proved it for too long.
     async fn read_if_due(&mut self) -> CallResult<()> {
         let proof = self.active.proof();
-        let patience = proof.holds_for.map_or(INTERVAL, |holds_for| holds_for / 2);
+        let patience = proof.valid_for.map_or(INTERVAL, |valid_for| valid_for / 2);
         let is_old = proof.asked_at.is_none_or(|at| clock::since(at) >= patience);
         if is_old && !self.has_read_lately() { self.read().await } else { Ok(()) }
     }
@@ -272,11 +281,11 @@
 
     /// Takes over the newest configuration, as a question that left at `asked_at` has brought it.
     fn take(&mut self, asked_at: Now, newest: Option<&Item>) {
-        self.active.heard(asked_at);
+        self.active.on_store_answer(asked_at);
         let Some(newest) = newest else { return };
-        take_item(&self.platform, &self.active, &self.events, newest);
+        adopt_item(&self.platform, &self.active, &self.events, newest);
         if newest.revision == self.active.revision() {
-            self.active.proved(asked_at);
+            self.active.on_proof(asked_at);
             self.next = Next::Look;
         } else {
             // It can't be used, and each conflict would bring it again.
@@ -292,14 +301,14 @@
     most.mul_f64(rand::random())
 }
 
-impl Active {
+impl ActiveConfiguration {
     /// Waits until the store has been asked after `since`, for `patience` at most, and returns whether
     /// it was and answered.
     pub async fn wait_for_proof_since(&self, since: Now, patience: Duration) -> bool {
         let is_since = || self.proof().asked_at.is_some_and(|asked_at| asked_at >= since);
         let waiting = async {
             while !is_since() {
-                self.want_proof().await;
+                self.request_proof().await;
             }
         };
         timeout(patience, waiting).await.is_ok()
--- a/crates/jackdawpier_entry/src/http_client.rs
+++ b/crates/jackdawpier_entry/src/http_client.rs
@@ -25,7 +25,7 @@
 use nix::errno::Errno;
 use tokio::{net::TcpStream, time::timeout};
 
-use crate::arrivals::{Arrival, Arrivals};
+use crate::response_progress::{ResponseGuard, ResponseProgress};
 
 /// Idle connections kept a host: a long poll, and a few orders at a time.
 const IDLE_PER_HOST: usize = 4;
@@ -49,7 +49,7 @@
     /// Body as JSON; empty for none.
     pub body: Vec<u8>,
     /// Where it is noted that an answer is on its way.
-    arrivals: Option<Arrivals>,
+    arrivals: Option<ResponseProgress>,
 }
 
 impl Call {
@@ -67,7 +67,7 @@
 
     /// Notes the answer while it comes, unless the call is turned away.
     #[must_use]
-    pub fn noting(mut self, arrivals: &Arrivals) -> Self {
+    pub fn with_progress(mut self, arrivals: &ResponseProgress) -> Self {
         self.arrivals = Some(arrivals.clone());
         self
     }
@@ -91,7 +91,7 @@
 
 /// What kept a request from leaving.
 #[derive(Debug, Clone, Copy, Display, PartialEq, Eq)]
-pub enum Obstacle {
+pub enum SendFailure {
     /// The connection didn't open in time.
     #[display("it doesn't open connections")]
     Timeout,
@@ -103,13 +103,13 @@
     NoDescriptor,
     /// All connections that the client may have open are in use.
     #[display("all connections for such calls are in use")]
-    NoPlace,
+    NoConnectionSlot,
     /// Anything else that ended the connection first.
     #[display("the connection failed")]
     Failed,
 }
 
-impl Obstacle {
+impl SendFailure {
     /// What an error of a socket comes to.
     pub(crate) fn of(error: &io::Error) -> Self {
         let errno = error.raw_os_error().map(Errno::from_raw);
@@ -126,7 +126,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoAnswer {
     /// The request didn't leave.
-    NotSent(Obstacle),
+    NotSent(SendFailure),
     /// It may have arrived.
     Lost {
         /// How much of the answer's body had come: none of a silent host, some of a slow one.
@@ -142,7 +142,7 @@
     idle: Rc<RefCell<Idle>>,
     /// Connections that are open or about to be.
     open: Rc<Cell<usize>>,
-    most_open: usize,
+    max_open: usize,
 }
 
 impl Default for HttpClient {
@@ -154,8 +154,8 @@
 impl HttpClient {
     /// A client that opens no more connections than these at a time. A process that talks to thousands of
     /// hosts keeps the rest of its descriptors for what it can't do without: its store and its callers.
-    pub fn bounded(most_open: usize) -> Self {
-        Self { idle: Rc::default(), open: Rc::default(), most_open }
+    pub fn bounded(max_open: usize) -> Self {
+        Self { idle: Rc::default(), open: Rc::default(), max_open }
     }
 
     /// Sends a call and waits for its answer: at most `patience` for its beginning, and for the rest of it as long
@@ -211,8 +211,8 @@
 
     /// A place for one more connection, if need be that of an idle one.
     fn take_place(&self) -> Result<Place, NoAnswer> {
-        if self.open.get() >= self.most_open && !self.close_idle() {
-            return Err(NoAnswer::NotSent(Obstacle::NoPlace));
+        if self.open.get() >= self.max_open && !self.close_idle() {
+            return Err(NoAnswer::NotSent(SendFailure::NoConnectionSlot));
         }
         self.open.set(self.open.get() + 1);
         Ok(Place(self.open.clone()))
@@ -269,9 +269,9 @@
 
 async fn connect(host: &str, place: Place) -> Result<Sender, NoAnswer> {
     let opening = timeout(CONNECT_TIMEOUT, TcpStream::connect(host)).await;
-    let opened = opening.map_err(|_| NoAnswer::NotSent(Obstacle::Timeout))?;
-    let stream = opened.map_err(|error| NoAnswer::NotSent(Obstacle::of(&error)))?;
-    let failed = NoAnswer::NotSent(Obstacle::Failed);
+    let opened = opening.map_err(|_| NoAnswer::NotSent(SendFailure::Timeout))?;
+    let stream = opened.map_err(|error| NoAnswer::NotSent(SendFailure::of(&error)))?;
+    let failed = NoAnswer::NotSent(SendFailure::Failed);
     // Without it small requests wait for acknowledgements.
     stream.set_nodelay(true).map_err(|_| failed)?;
     let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|_| failed)?;
@@ -299,7 +299,7 @@
         request = request.header(*name, value);
     }
     let body = Full::new(Bytes::from(call.body.clone()));
-    let not_sent = NoAnswer::NotSent(Obstacle::Failed);
+    let not_sent = NoAnswer::NotSent(SendFailure::Failed);
     let request = request.body(body).map_err(|_| not_sent)?;
     let sending = sender.send_request(request).await;
     sending.map_err(|error| if error.is_canceled() { not_sent } else { SILENT })
@@ -307,11 +307,11 @@
 
 async fn read_answer(
     response: Response<Incoming>,
-    arrivals: Option<&Arrivals>,
+    arrivals: Option<&ResponseProgress>,
 ) -> Result<Answer, NoAnswer> {
     let status = response.status();
     let is_served = status.is_success() || status == StatusCode::PRECONDITION_FAILED;
-    let arrival = arrivals.filter(|_| is_served).map(Arrivals::begin);
+    let arrival = arrivals.filter(|_| is_served).map(ResponseProgress::begin);
     let mut body = BytesMut::new();
     let reading = read_body(response.into_body(), &mut body, arrival.as_ref());
     let is_whole = timeout(LONGEST_ANSWER, reading).await.unwrap_or(false);
@@ -322,7 +322,11 @@
 }
 
 /// Reads on for as long as parts come; returns whether the end was reached.
-async fn read_body(mut incoming: Incoming, body: &mut BytesMut, arrival: Option<&Arrival>) -> bool {
+async fn read_body(
+    mut incoming: Incoming,
+    body: &mut BytesMut,
+    arrival: Option<&ResponseGuard>,
+) -> bool {
     loop {
         match timeout(LONGEST_PAUSE, incoming.frame()).await {
             Ok(None) => return true,
--- a/crates/jackdawpier_entry/src/http_server.rs
+++ b/crates/jackdawpier_entry/src/http_server.rs
@@ -26,7 +26,7 @@
 
 use crate::{
     connections::{Connection, ConnectionLimits, Connections},
-    http_client::Obstacle,
+    http_client::SendFailure,
     watched_stream::{WatchedStream, is_readable},
 };
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// Serves a port within the usual limits, see [`serve_within`].
+/// Serves a port within the usual limits, see [`serve_with_limits`].
 pub async fn serve<H, F>(
     address: SocketAddr,
     handler: H,
@@ -77,13 +77,13 @@
     F: Future<Output = Reply> + 'static,
 {
     let (connections, limits) = (Connections::default(), ConnectionLimits::default);
-    serve_within(address, connections, limits, handler, in_flight, stopping).await
+    serve_with_limits(address, connections, limits, handler, in_flight, stopping).await
 }
 
 /// Serves a port until its connections are closed. Once `stopping` is true each connection ends with its
 /// next answer; idle ones stay open, since a request may be on its way, and new ones are taken, since
 /// the balancer may not have noticed yet. See `docs/design/callers-port.md` for the limits.
-pub async fn serve_within<L, H, F>(
+pub async fn serve_with_limits<L, H, F>(
     address: SocketAddr,
     connections: Connections,
     limits: L,
@@ -105,7 +105,7 @@
     };
     tokio::select! {
         () = accept(&listener, &connections, &limits, serve_stream) => {}
-        () = connections.end_overdue(&limits) => {}
+        () = connections.close_overdue(&limits) => {}
         () = connections.closed() => {}
     }
     Ok(())
@@ -121,11 +121,12 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                connections.make_room(limits().most).await;
+                connections.make_room(limits().max_open).await;
                 serve_stream(stream);
             }
             Err(error)
-                if Obstacle::of(&error) == Obstacle::NoDescriptor && is_readable(listener) =>
+                if SendFailure::of(&error) == SendFailure::NoDescriptor
+                    && is_readable(listener) =>
             {
                 connections.close_longest_idle(ACCEPT_PAUSE).await;
             }
--- a/crates/jackdawpier_entry/src/question.rs
+++ b/crates/jackdawpier_entry/src/job_query.rs
@@ -24,7 +24,7 @@
 
 /// One question on its way.
 #[derive(Debug)]
-pub(crate) struct Question {
+pub(crate) struct JobQuery {
     arrived_at: Now,
     /// When its key was found to stand; none before.
     admitted_at: Option<Now>,
@@ -35,7 +35,7 @@
     last_error: Option<CallError>,
 }
 
-impl Question {
+impl JobQuery {
     /// Follows a question that arrived at this time.
     pub(crate) fn new(arrived_at: Now) -> Self {
         let source = Source::Memory;
@@ -67,7 +67,7 @@
         proof_age: Option<Duration>,
     ) {
         let took = clock::since(self.arrived_at);
-        events.metrics().took(Latency::Question, took);
+        events.metrics().observe(Latency::JobQuery, took);
         if took < LATE && !status.is_server_error() {
             return;
         }
--- a/crates/jackdawpier_entry/src/lib.rs
+++ b/crates/jackdawpier_entry/src/lib.rs
@@ -7,7 +7,6 @@
 
 pub mod acceptance;
 pub mod access;
-pub mod arrivals;
 pub mod callers;
 pub mod clock;
 pub mod configuration;
@@ -16,6 +15,7 @@
 pub mod freshness;
 pub mod http_client;
 pub mod http_server;
+mod job_query;
 pub mod keys;
 pub mod link;
 pub mod listing_schedule;
@@ -26,8 +26,8 @@
 pub mod ownership;
 pub mod pending;
 pub mod ports;
-mod question;
 pub mod registry;
+pub mod response_progress;
 pub mod run;
 pub mod settings;
 pub mod shared_proof;
--- a/crates/jackdawpier_entry/src/link.rs
+++ b/crates/jackdawpier_entry/src/link.rs
@@ -11,11 +11,11 @@
 const SLOWEST_MBPS: f64 = 0.1;
 
 /// The time that so many bits take of `part` of a link.
-pub fn time_of_bits(bits: f64, link_mbps: f64, part: f64) -> Duration {
+pub fn transfer_time_of_bits(bits: f64, link_mbps: f64, part: f64) -> Duration {
     Duration::from_secs_f64(bits / (link_mbps.max(SLOWEST_MBPS) * 1e6 * part))
 }
 
 /// The time that values of the store with so many bytes take of `part` of a link.
-pub fn time_of_values(bytes: usize, link_mbps: f64, part: f64) -> Duration {
-    time_of_bits(bytes as f64 * WIRE_PER_VALUE * 8.0, link_mbps, part)
+pub fn transfer_time_of_values(bytes: usize, link_mbps: f64, part: f64) -> Duration {
+    transfer_time_of_bits(bytes as f64 * WIRE_PER_VALUE * 8.0, link_mbps, part)
 }
--- a/crates/jackdawpier_entry/src/log_volume.rs
+++ b/crates/jackdawpier_entry/src/log_volume.rs
@@ -24,7 +24,7 @@
 
 /// Lines of one kind that a second left out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct LeftOut {
+pub struct SuppressedLines {
     /// The kind.
     pub kind: &'static str,
     /// How many.
@@ -46,7 +46,7 @@
 
 impl LogVolume {
     /// Begins to count anew with each second, and returns what the last one left out.
-    pub fn begin_second(&mut self, now: Now) -> Vec<LeftOut> {
+    pub fn begin_second(&mut self, now: Now) -> Vec<SuppressedLines> {
         if self.second == now.as_secs() {
             return Vec::new();
         }
@@ -55,7 +55,7 @@
         rates
             .into_iter()
             .filter(|(_, rate)| rate.left_out > 0)
-            .map(|(kind, rate)| LeftOut { kind, lines: rate.left_out })
+            .map(|(kind, rate)| SuppressedLines { kind, lines: rate.left_out })
             .collect()
     }
 
--- a/crates/jackdawpier_entry/src/metrics.rs
+++ b/crates/jackdawpier_entry/src/metrics.rs
@@ -46,12 +46,12 @@
     /// From a take-over's begin until the state is rebuilt.
     TakeOver,
     /// From the arrival of a question for a job to its answer.
-    Question,
+    JobQuery,
 }
 
 impl Latency {
     const ALL: [Self; 5] =
-        [Self::Acceptance, Self::Write, Self::Start, Self::TakeOver, Self::Question];
+        [Self::Acceptance, Self::Write, Self::Start, Self::TakeOver, Self::JobQuery];
 
     fn name(self) -> &'static str {
         match self {
@@ -59,7 +59,7 @@
             Self::Write => "record_write",
             Self::Start => "task_start",
             Self::TakeOver => "takeover",
-            Self::Question => "question",
+            Self::JobQuery => "question",
         }
     }
 
@@ -69,7 +69,7 @@
             Self::Write => "From the first try to write a group of records until it is durable",
             Self::Start => "From an order to start a task until its outcome, repeats included",
             Self::TakeOver => "From the begin of a take-over until the state is rebuilt",
-            Self::Question => "From the arrival of a question for a job to its answer",
+            Self::JobQuery => "From the arrival of a question for a job to its answer",
         }
     }
 }
@@ -137,7 +137,7 @@
     }
 
     /// Notes how long something took.
-    pub fn took(&self, latency: Latency, time: Duration) {
+    pub fn observe(&self, latency: Latency, time: Duration) {
         let place = Latency::ALL.iter().position(|one| *one == latency);
         let place = place.expect("every latency is in the list");
         self.0.borrow().latencies[place].observe(time.as_secs_f64());
@@ -159,8 +159,8 @@
         inner.open_connections.set(counts.open as i64);
         let closed = [
             ("idle", counts.idle_closed),
-            ("room", counts.closed_for_room),
-            ("broken_off", counts.broken_off),
+            ("room", counts.evicted),
+            ("broken_off", counts.aborted),
         ];
         for (why, count) in closed {
             let counter = inner.closed_connections.get_or_create(&ClosedLabels { why });
--- a/crates/jackdawpier_entry/src/owner.rs
+++ b/crates/jackdawpier_entry/src/owner.rs
@@ -31,13 +31,13 @@
 
 use crate::{
     clock,
-    configuration::Active,
+    configuration::ActiveConfiguration,
     events::Events,
     listing_schedule::ListingSchedule,
     ownership::{self, Candidate, Term},
     ports::Platform,
     settings::EntrySettings,
-    speed::Speed,
+    speed::MachineSpeed,
 };
 
 /// Longest time between two looks of the decisions at the clock.
@@ -107,7 +107,7 @@
     pub(crate) settings: Rc<EntrySettings>,
     pub(crate) term: Term,
     pub(crate) fleet: Rc<RefCell<Fleet>>,
-    pub(crate) active: Active,
+    pub(crate) active: ActiveConfiguration,
     pub(crate) events: Events,
     /// Something has happened that may let tasks start.
     pub(crate) changed: Notify,
@@ -205,15 +205,15 @@
 
     /// Gives the fleet up once this machine has turned slow, so that one that hasn't decides. One that
     /// was slow when it took over keeps it: nobody faster was there.
-    async fn monitor_speed(self: Rc<Self>, speed: Speed) {
+    async fn monitor_speed(self: Rc<Self>, speed: MachineSpeed) {
         if speed.is_slow() {
             return;
         }
         while self.is_valid() {
             tokio::time::sleep(SPEED_LOOK).await;
-            speed.observe();
+            speed.sample();
             if speed.is_slow() {
-                let fields = json!({ "fence": self.term.fence, "part": speed.part() });
+                let fields = json!({ "fence": self.term.fence, "part": speed.relative_speed() });
                 self.events.emit("owner_slow", fields);
                 self.term.mark_lost();
             }
@@ -224,7 +224,7 @@
         while self.is_valid() {
             tokio::time::sleep(JOB_REMOVAL_INTERVAL).await;
             let forgotten =
-                self.fleet.borrow_mut().forget_jobs(clock::now(), self.settings.retention);
+                self.fleet.borrow_mut().forget_jobs(clock::now(), self.settings.job_retention);
             for job in forgotten {
                 self.remove_job(&job).await;
             }
@@ -233,16 +233,16 @@
 }
 
 fn fleet_settings(settings: &EntrySettings) -> FleetSettings {
-    let lease = settings.longest_lease.min(EXECUTOR_LEASE);
+    let lease = settings.max_lease.min(EXECUTOR_LEASE);
     FleetSettings {
         lease,
-        longest_lease: settings.longest_lease,
+        longest_lease: settings.max_lease,
         // An owner that was cut off may have renewed until its own lease ended.
-        takeover_uncertainty: ownership::lease_ttl(settings.shortest_ttl)
+        takeover_uncertainty: ownership::lease_ttl(settings.min_lease_ttl)
             + lease * 21 / 20
             + Duration::from_millis(300),
         stop_timeout: settings.stop_timeout,
-        maintenance: settings.maintenance,
+        maintenance: settings.maintenance_duration,
         remote_factor: settings.remote_factor,
         order_lease: settings.order_lease + MACHINE_ORDER_TIME,
         policy: Policy::default(),
@@ -253,22 +253,22 @@
 pub async fn compete_for_ownership<P: Platform>(
     platform: P,
     settings: Rc<EntrySettings>,
-    active: Active,
+    active: ActiveConfiguration,
     cell: FleetHandle,
     events: Events,
     incarnation: String,
-    speed: Speed,
+    speed: MachineSpeed,
 ) {
     let mut candidate = Candidate {
         entry: settings.entry.clone(),
         incarnation,
         cpu_share: settings.cpu_share,
-        ttl: ownership::lease_ttl(settings.shortest_ttl),
+        ttl: ownership::lease_ttl(settings.min_lease_ttl),
     };
     loop {
         // A slow machine is as good as a small one.
-        speed.observe();
-        let part = if speed.is_slow() { speed.part() } else { 1.0 };
+        speed.sample();
+        let part = if speed.is_slow() { speed.relative_speed() } else { 1.0 };
         candidate.cpu_share = settings.cpu_share * part;
         let acquired = ownership::acquire(&platform, &candidate).await;
         if let Ok(Some(term)) = acquired {
@@ -288,10 +288,10 @@
 async fn run_term<P: Platform>(
     platform: &P,
     settings: &Rc<EntrySettings>,
-    active: &Active,
+    active: &ActiveConfiguration,
     cell: &FleetHandle,
     events: &Events,
-    speed: &Speed,
+    speed: &MachineSpeed,
     term: Term,
 ) {
     let fleet = Rc::new(RefCell::new(Fleet::new(fleet_settings(settings), clock::now())));
--- a/crates/jackdawpier_entry/src/owner/commits.rs
+++ b/crates/jackdawpier_entry/src/owner/commits.rs
@@ -44,7 +44,7 @@
 /// The time that a transaction takes of the part of the link that records may have.
 fn link_time(transaction: &Transaction, link_mbps: f64) -> Duration {
     let bytes: usize = transaction.puts.iter().map(|(_, value, _)| value.len()).sum();
-    link::time_of_values(bytes, link_mbps, LINK_PART)
+    link::transfer_time_of_values(bytes, link_mbps, LINK_PART)
 }
 
 /// The writes under way, and how long they have taken.
@@ -114,7 +114,7 @@
     async fn write(self: &Rc<Self>, batch: Batch, transaction: Transaction) {
         let began_at = clock::now();
         let end = self.write_until_known(&batch, &transaction).await;
-        self.events.metrics().took(Latency::Write, clock::since(began_at));
+        self.events.metrics().observe(Latency::Write, clock::since(began_at));
         match end {
             WriteEnd::Durable(revisions) => {
                 self.fleet.borrow_mut().batch_durable(clock::now(), &batch, &revisions);
--- a/crates/jackdawpier_entry/src/owner/executors.rs
+++ b/crates/jackdawpier_entry/src/owner/executors.rs
@@ -263,7 +263,7 @@
             is_certain = false;
         }
         let fields = json!({ "executor": *start.executor, "task": start.task.to_string(), "run": start.run, "end": format!("{end:?}"), "certain": is_certain });
-        self.events.metrics().took(Latency::Start, clock::since(began_at));
+        self.events.metrics().observe(Latency::Start, clock::since(began_at));
         self.events.emit("task_started", fields);
         if !self.is_valid() {
             return;
--- a/crates/jackdawpier_entry/src/owner/intake.rs
+++ b/crates/jackdawpier_entry/src/owner/intake.rs
@@ -27,7 +27,7 @@
 /// Time between two listings of this many bytes. In a burst what is open has 120 KB, half a second of a link
 /// of 2 Mbit/s, and renewals that waited behind it cost the ownership.
 fn list_interval(bytes: usize, link_mbps: f64) -> Duration {
-    LIST_INTERVAL.max(link::time_of_values(bytes, link_mbps, LINK_PART))
+    LIST_INTERVAL.max(link::transfer_time_of_values(bytes, link_mbps, LINK_PART))
 }
 
 impl<P: Platform> Owner<P> {
--- a/crates/jackdawpier_entry/src/owner/machines.rs
+++ b/crates/jackdawpier_entry/src/owner/machines.rs
@@ -24,7 +24,7 @@
 /// The pause after a listing of this many machines over this link.
 fn list_pause(machines: usize, link_mbps: f64) -> Duration {
     let bits = machines as f64 * BITS_PER_MACHINE;
-    LIST_PAUSE.max(link::time_of_bits(bits, link_mbps, LINK_PART))
+    LIST_PAUSE.max(link::transfer_time_of_bits(bits, link_mbps, LINK_PART))
 }
 
 impl<P: Platform> Owner<P> {
--- a/crates/jackdawpier_entry/src/owner/takeover.rs
+++ b/crates/jackdawpier_entry/src/owner/takeover.rs
@@ -71,7 +71,7 @@
             "jobs": jobs,
             "took_ms": clock::since(began_at).as_millis() as u64,
         });
-        self.events.metrics().took(Latency::TakeOver, clock::since(began_at));
+        self.events.metrics().observe(Latency::TakeOver, clock::since(began_at));
         self.events.emit("taken_over", fields);
         Some(intake.revision)
     }
--- a/crates/jackdawpier_entry/src/ports.rs
+++ b/crates/jackdawpier_entry/src/ports.rs
@@ -15,7 +15,7 @@
 };
 use jackdawpier_kernel::ids::{ExecutorId, Revision};
 
-use crate::{access::ClientKeys, arrivals::Arrivals};
+use crate::{access::ClientKeys, response_progress::ResponseProgress};
 
 /// Why a call gave no usable answer.
 #[derive(Debug, Clone, Display, Error, PartialEq, Eq)]
@@ -110,7 +110,7 @@
 /// The store.
 pub trait Store {
     /// Answers with the operators' document that are on their way.
-    fn arrivals(&self) -> Arrivals;
+    fn arrivals(&self) -> ResponseProgress;
     /// Time that values of so many bytes take to leave.
     fn sending_time(&self, bytes: usize) -> Duration;
     /// Reads one item, not a stale one.
--- a/crates/jackdawpier_entry/src/arrivals.rs
+++ b/crates/jackdawpier_entry/src/response_progress.rs
@@ -12,28 +12,28 @@
 #[derive(Debug, Default)]
 struct State {
     under_way: Cell<usize>,
-    last_at: Cell<Option<Now>>,
+    last_received_at: Cell<Option<Now>>,
 }
 
 /// The answers of a host that have begun to come.
 #[derive(Debug, Clone, Default)]
-pub struct Arrivals(Rc<State>);
+pub struct ResponseProgress(Rc<State>);
 
-impl Arrivals {
+impl ResponseProgress {
     /// When the last part of an answer came; none before the first.
-    pub fn last_at(&self) -> Option<Now> {
-        self.0.last_at.get()
+    pub fn last_received_at(&self) -> Option<Now> {
+        self.0.last_received_at.get()
     }
 
     /// Whether an answer has begun to come and isn't whole yet.
-    pub fn is_under_way(&self) -> bool {
+    pub fn is_in_progress(&self) -> bool {
         self.0.under_way.get() > 0
     }
 
     /// An answer begins to come.
-    pub(crate) fn begin(&self) -> Arrival {
+    pub(crate) fn begin(&self) -> ResponseGuard {
         self.0.under_way.set(self.0.under_way.get() + 1);
-        let arrival = Arrival(self.0.clone());
+        let arrival = ResponseGuard(self.0.clone());
         arrival.part();
         arrival
     }
@@ -41,16 +41,16 @@
 
 /// One answer, from its head to its end.
 #[derive(Debug)]
-pub(crate) struct Arrival(Rc<State>);
+pub(crate) struct ResponseGuard(Rc<State>);
 
-impl Arrival {
+impl ResponseGuard {
     /// A part has come.
     pub(crate) fn part(&self) {
-        self.0.last_at.set(Some(clock::now()));
+        self.0.last_received_at.set(Some(clock::now()));
     }
 }
 
-impl Drop for Arrival {
+impl Drop for ResponseGuard {
     fn drop(&mut self) {
         self.0.under_way.set(self.0.under_way.get() - 1);
     }
--- a/crates/jackdawpier_entry/src/run.rs
+++ b/crates/jackdawpier_entry/src/run.rs
@@ -14,9 +14,9 @@
 
 use crate::{
     acceptance::{self, Intake},
-    callers::Callers,
+    callers::CallerApi,
     clock,
-    configuration::{self, Active},
+    configuration::{self, ActiveConfiguration},
     connections::{ConnectionLimits, Connections},
     events::Events,
     freshness,
@@ -25,7 +25,7 @@
     pending::PendingCounter,
     ports::Platform,
     settings::EntrySettings,
-    speed::{self, Speed},
+    speed::{self, MachineSpeed},
 };
 
 /// After a request to stop the balancer still sends connections until it has missed two answers of
@@ -47,7 +47,7 @@
     let events = Events::new(&settings.entry);
     let incarnation = format!("{}-{}", std::process::id(), clock::wall_ms());
     events.emit("started", json!({ "life": incarnation, "callers": settings.callers.to_string() }));
-    let active = Active::new(settings.revocation);
+    let active = ActiveConfiguration::new(settings.revocation_deadline);
     let intake = Intake::default();
     let cell = FleetHandle::default();
     let (stop, stopping) = watch::channel(false);
@@ -71,10 +71,10 @@
         cell.clone(),
         events.clone(),
         incarnation,
-        Speed::new(speed::measure),
+        MachineSpeed::new(speed::measure),
     ));
 
-    let callers = Rc::new(Callers {
+    let callers = Rc::new(CallerApi {
         platform: platform.clone(),
         active: active.clone(),
         intake,
@@ -88,7 +88,7 @@
         move || connection_limits(&active)
     };
     let answer = move |request| callers.clone().answer(request);
-    let serving = http_server::serve_within(
+    let serving = http_server::serve_with_limits(
         settings.callers,
         connections.clone(),
         limits,
@@ -101,8 +101,8 @@
         let (active, stopping) = (active.clone(), stopping.clone());
         move |_| {
             let now = clock::now();
-            let is_in_touch = active.is_in_touch(now) && active.can_prove_keys(now);
-            let is_ready = !*stopping.borrow() && is_in_touch;
+            let is_current = active.is_current(now) && active.can_verify_keys(now);
+            let is_ready = !*stopping.borrow() && is_current;
             async move { ready_reply(is_ready) }
         }
     };
@@ -129,7 +129,7 @@
     let _ = stop.send(true);
     owning.abort();
     cell.release(&platform).await;
-    let end_by = asked_at + settings.grace.saturating_sub(END_MARGIN);
+    let end_by = asked_at + settings.shutdown_grace.saturating_sub(END_MARGIN);
     let report = || events.emit("stopped", json!({ "in_flight": in_flight.count() }));
     drain(&in_flight, asked_at + BALANCER_LAG, end_by, report).await;
     connections.close(end_by).await;
@@ -137,7 +137,7 @@
 }
 
 /// Limits of the callers' port by the configuration in force.
-fn connection_limits(active: &Active) -> ConnectionLimits {
+fn connection_limits(active: &ActiveConfiguration) -> ConnectionLimits {
     let usual = ConnectionLimits::default();
     active.get().map_or(usual, |configuration| ConnectionLimits {
         header_timeout: configuration.limits.header_timeout,
--- a/crates/jackdawpier_entry/src/settings.rs
+++ b/crates/jackdawpier_entry/src/settings.rs
@@ -18,22 +18,22 @@
     /// Where metrics are served, if anywhere.
     pub metrics: Option<SocketAddr>,
     /// Time from the request to stop until the process is killed.
-    pub grace: Duration,
+    pub shutdown_grace: Duration,
     /// Longest lease that executors accept for what they run.
-    pub longest_lease: Duration,
+    pub max_lease: Duration,
     /// An executor needs at most this long to stop a task.
     pub stop_timeout: Duration,
     /// How long a machine is away for maintenance.
-    pub maintenance: Duration,
+    pub maintenance_duration: Duration,
     /// A task away from its data takes this many times as long.
     pub remote_factor: f64,
     /// Holders of machine orders must not take turns within this time.
     pub order_lease: Duration,
     /// Shortest time to live of a lease that the store grants.
-    pub shortest_ttl: Duration,
+    pub min_lease_ttl: Duration,
     /// A key that was taken away serves nobody this long after, whatever the entry hears of it; none
     /// where that is no promise.
-    pub revocation: Option<Duration>,
+    pub revocation_deadline: Option<Duration>,
     /// How long the state of a job that is over has to be known.
-    pub retention: Duration,
+    pub job_retention: Duration,
 }
--- a/crates/jackdawpier_entry/src/speed.rs
+++ b/crates/jackdawpier_entry/src/speed.rs
@@ -31,7 +31,7 @@
 
 /// The speed of this machine.
 #[derive(Debug, Clone)]
-pub struct Speed {
+pub struct MachineSpeed {
     measure: fn() -> Duration,
     state: Rc<RefCell<State>>,
 }
@@ -42,17 +42,17 @@
     measured: VecDeque<Duration>,
 }
 
-impl Speed {
+impl MachineSpeed {
     /// Starts with some measurements, against which later ones are compared.
     pub fn new(measure: fn() -> Duration) -> Self {
         let state = State { measured: VecDeque::with_capacity(REMEMBERED) };
         let speed = Self { measure, state: Rc::new(RefCell::new(state)) };
-        (0..MEASUREMENTS).for_each(|_| speed.observe());
+        (0..MEASUREMENTS).for_each(|_| speed.sample());
         speed
     }
 
     /// Takes one more measurement.
-    pub fn observe(&self) {
+    pub fn sample(&self) {
         let took = (self.measure)().max(Duration::from_nanos(1));
         let mut state = self.state.borrow_mut();
         if state.measured.len() == REMEMBERED {
@@ -62,7 +62,7 @@
     }
 
     /// Part of its usual speed that the machine has now.
-    pub fn part(&self) -> f64 {
+    pub fn relative_speed(&self) -> f64 {
         let measured = &self.state.borrow().measured;
         let usual = ranked(measured.iter(), 4);
         let now = ranked(measured.iter().rev().take(MEASUREMENTS), 2);
@@ -71,7 +71,7 @@
 
     /// Whether the machine is so slow that another one should decide.
     pub fn is_slow(&self) -> bool {
-        self.part() < SLOW_BELOW
+        self.relative_speed() < SLOW_BELOW
     }
 }
 
--- a/crates/jackdawpier_entry/tests/acceptance.rs
+++ b/crates/jackdawpier_entry/tests/acceptance.rs
@@ -7,7 +7,7 @@
 use jackdawpier_entry::{
     acceptance::{Acceptance, Intake, write_jobs},
     clock,
-    configuration::Active,
+    configuration::ActiveConfiguration,
     keys,
 };
 use support::{Fake, WriteFault, run, start_intake, submission};
@@ -191,11 +191,11 @@
         assert_eq!(intake.unanswered_since(), None);
         intake.submit("job".into(), &submission(), deadline).await;
         let since = intake.unanswered_since().expect("no write was answered");
-        let active = Active::default();
-        active.heard(since.saturating_sub(Duration::from_millis(1)));
-        assert!(!active.is_heard_since(since));
-        active.heard(clock::now());
-        assert!(active.is_heard_since(since));
+        let active = ActiveConfiguration::default();
+        active.on_store_answer(since.saturating_sub(Duration::from_millis(1)));
+        assert!(!active.has_store_answered_since(since));
+        active.on_store_answer(clock::now());
+        assert!(active.has_store_answered_since(since));
     });
 }
 
--- a/crates/jackdawpier_entry/tests/access.rs
+++ b/crates/jackdawpier_entry/tests/access.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use jackdawpier_entry::{
-    access::{Access, ApiKey, Proof, judge},
+    access::{Access, ApiKey, Proof, check_access},
     ports::{Configuration, Route},
 };
 use jackdawpier_kernel::Now;
@@ -25,16 +25,16 @@
 }
 
 /// Judges a request that arrived at [`ARRIVAL`] and was read whole at `now`.
-fn judge_at(now: Now, key: Option<&str>, proved_at: Option<Now>) -> Access {
+fn check_access_at(now: Now, key: Option<&str>, proved_at: Option<Now>) -> Access {
     let key = key.map(|key| ApiKey::new(key.as_bytes()));
-    let proof = Proof { asked_at: proved_at, holds_for: Some(HOLDS_FOR) };
-    judge(&with_keys(), &route(false), key.as_ref(), proof, ARRIVAL, now)
+    let proof = Proof { asked_at: proved_at, valid_for: Some(HOLDS_FOR) };
+    check_access(&with_keys(), &route(false), key.as_ref(), proof, ARRIVAL, now)
 }
 
 #[test]
 fn standing_key() {
     let proved_at = Some(ARRIVAL.saturating_sub(Duration::from_secs(4)));
-    let access = judge_at(ARRIVAL, Some("standing"), proved_at);
+    let access = check_access_at(ARRIVAL, Some("standing"), proved_at);
     assert_eq!(access, Access::Granted(Some("shop".into())));
 }
 
@@ -42,8 +42,8 @@
 #[test]
 fn old_proof() {
     let proved_at = Some(ARRIVAL.saturating_sub(HOLDS_FOR));
-    assert_eq!(judge_at(ARRIVAL, Some("standing"), proved_at), Access::Unproved);
-    assert_eq!(judge_at(ARRIVAL, Some("standing"), None), Access::Unproved);
+    assert_eq!(check_access_at(ARRIVAL, Some("standing"), proved_at), Access::Unverified);
+    assert_eq!(check_access_at(ARRIVAL, Some("standing"), None), Access::Unverified);
 }
 
 /// An entry that is paused between reading the head and the rest of a request looks at the clock again.
@@ -51,34 +51,35 @@
 fn paused_entry() {
     let proved_at = Some(ARRIVAL);
     let later = ARRIVAL + HOLDS_FOR;
-    assert_eq!(judge_at(later, Some("standing"), proved_at), Access::Unproved);
+    assert_eq!(check_access_at(later, Some("standing"), proved_at), Access::Unverified);
 }
 
 /// A key that isn't known may be newer than the configuration; only a newer look can tell.
 #[test]
 fn newer_key() {
     let before = Some(ARRIVAL.saturating_sub(Duration::from_millis(1)));
-    assert_eq!(judge_at(ARRIVAL, Some("other"), before), Access::Unproved);
-    assert_eq!(judge_at(ARRIVAL, Some("other"), Some(ARRIVAL)), Access::UnknownKey);
-    assert_eq!(judge_at(ARRIVAL, None, None), Access::NoKey);
+    assert_eq!(check_access_at(ARRIVAL, Some("other"), before), Access::Unverified);
+    assert_eq!(check_access_at(ARRIVAL, Some("other"), Some(ARRIVAL)), Access::UnknownKey);
+    assert_eq!(check_access_at(ARRIVAL, None, None), Access::MissingKey);
 }
 
 #[test]
 fn public_route() {
     let key = ApiKey::new(b"other");
-    let proof = Proof { asked_at: None, holds_for: Some(HOLDS_FOR) };
-    let access = judge(&with_keys(), &route(true), Some(&key), proof, ARRIVAL, ARRIVAL);
+    let proof = Proof { asked_at: None, valid_for: Some(HOLDS_FOR) };
+    let access = check_access(&with_keys(), &route(true), Some(&key), proof, ARRIVAL, ARRIVAL);
     assert_eq!(access, Access::Granted(None));
 }
 
 /// Where the operators have no accounts nobody needs a key, and where revocation is no promise no proof.
 #[test]
 fn lesser_promises() {
-    let proof = Proof { asked_at: None, holds_for: Some(HOLDS_FOR) };
-    let access = judge(&configuration(1), &route(false), None, proof, ARRIVAL, ARRIVAL);
+    let proof = Proof { asked_at: None, valid_for: Some(HOLDS_FOR) };
+    let access = check_access(&configuration(1), &route(false), None, proof, ARRIVAL, ARRIVAL);
     assert_eq!(access, Access::Granted(None));
     let key = ApiKey::new(b"standing");
-    let access = judge(&with_keys(), &route(false), Some(&key), Proof::default(), ARRIVAL, ARRIVAL);
+    let access =
+        check_access(&with_keys(), &route(false), Some(&key), Proof::default(), ARRIVAL, ARRIVAL);
     assert_eq!(access, Access::Granted(Some("shop".into())));
 }
 
--- a/crates/jackdawpier_entry/tests/bounded_client.rs
+++ b/crates/jackdawpier_entry/tests/bounded_client.rs
@@ -8,7 +8,7 @@
 use http_body_util::Full;
 use hyper::{Method, Response};
 use jackdawpier_entry::{
-    http_client::{Answer, Call, HttpClient, NoAnswer, Obstacle},
+    http_client::{Answer, Call, HttpClient, NoAnswer, SendFailure},
     http_server::{InFlight, serve},
 };
 use support::run;
@@ -55,7 +55,7 @@
         for talk in talks {
             refused.extend(talk.await.expect("it doesn't panic").err());
         }
-        assert_eq!(refused, [NoAnswer::NotSent(Obstacle::NoPlace)]);
+        assert_eq!(refused, [NoAnswer::NotSent(SendFailure::NoConnectionSlot)]);
         assert!(
             ask(&HttpClient::default(), &hosts[3]).await.is_ok(),
             "the store's own connections"
--- a/crates/jackdawpier_entry/tests/configuration.rs
+++ b/crates/jackdawpier_entry/tests/configuration.rs
@@ -2,22 +2,22 @@
 
 mod support;
 
-use jackdawpier_entry::configuration::Active;
+use jackdawpier_entry::configuration::ActiveConfiguration;
 use support::configuration;
 
 #[test]
 fn rising_versions() {
-    let active = Active::default();
-    assert!(active.offer(configuration(3), 10));
-    assert!(!active.offer(configuration(2), 11));
-    assert!(active.offer(configuration(4), 12));
+    let active = ActiveConfiguration::default();
+    assert!(active.adopt_if_newer(configuration(3), 10));
+    assert!(!active.adopt_if_newer(configuration(2), 11));
+    assert!(active.adopt_if_newer(configuration(4), 12));
     assert_eq!(active.get().map(|current| current.version), Some(4));
 }
 
 #[test]
 fn longest_prefix() {
-    let active = Active::default();
-    active.offer(configuration(1), 1);
+    let active = ActiveConfiguration::default();
+    active.adopt_if_newer(configuration(1), 1);
     let queue =
         |host: &str, path: &str| active.route(host, path).map(|route| route.queue.name.to_string());
     assert_eq!(queue("host", "/a/x"), Some("queue".to_owned()));
--- a/crates/jackdawpier_entry/tests/connections.rs
+++ b/crates/jackdawpier_entry/tests/connections.rs
@@ -199,7 +199,7 @@
 fn untaken_answer() {
     run(async {
         let idle_timeout = Duration::from_millis(300);
-        let port = serve_port(ConnectionLimits { most: 1, idle_timeout, ..wide_limits() });
+        let port = serve_port(ConnectionLimits { max_open: 1, idle_timeout, ..wide_limits() });
         let untaken = port.connect_and_ask().await;
         send_unseen(&untaken, LARGE_REQUEST);
         let since = Instant::now();
@@ -207,7 +207,7 @@
         assert!(is_answered(&ask(&mut newcomer).await));
         // It wasn't taken for an idle one.
         assert!(since.elapsed() >= idle_timeout);
-        let expected = ConnectionCounts { open: 1, broken_off: 1, ..ConnectionCounts::default() };
+        let expected = ConnectionCounts { open: 1, aborted: 1, ..ConnectionCounts::default() };
         assert_eq!(port.connections.counts(), expected);
     });
 }
@@ -216,7 +216,7 @@
 #[test]
 fn slowly_taken_answer() {
     run(async {
-        let port = serve_port(ConnectionLimits { most: 1, ..wide_limits() });
+        let port = serve_port(ConnectionLimits { max_open: 1, ..wide_limits() });
         let mut slow = port.connect_and_ask().await;
         send_unseen(&slow, LARGE_REQUEST);
         let mut newcomer = port.connect().await;
@@ -236,7 +236,7 @@
 #[test]
 fn full_port() {
     run(async {
-        let port = serve_port(ConnectionLimits { most: 4, ..wide_limits() });
+        let port = serve_port(ConnectionLimits { max_open: 4, ..wide_limits() });
         let mut idle = Vec::new();
         for _ in 0..4 {
             idle.push(port.connect_and_ask().await);
@@ -256,7 +256,7 @@
 #[test]
 fn many_newcomers() {
     run(async {
-        let port = serve_port(ConnectionLimits { most: 4, ..wide_limits() });
+        let port = serve_port(ConnectionLimits { max_open: 4, ..wide_limits() });
         let mut held = Vec::new();
         for number in 0..12 {
             let mut newcomer = port.connect().await;
@@ -273,7 +273,7 @@
 #[test]
 fn unseen_request() {
     run(async {
-        let port = serve_port(ConnectionLimits { most: 2, ..wide_limits() });
+        let port = serve_port(ConnectionLimits { max_open: 2, ..wide_limits() });
         let mut oldest = port.connect_and_ask().await;
         let mut idle = port.connect_and_ask().await;
         tokio::time::sleep(Duration::from_millis(200)).await;
@@ -294,7 +294,7 @@
     const MOMENT: Duration = Duration::from_millis(90);
     run(async {
         loop {
-            let port = serve_port(ConnectionLimits { most: 1, ..wide_limits() });
+            let port = serve_port(ConnectionLimits { max_open: 1, ..wide_limits() });
             let mut fresh = port.connect_and_ask().await;
             let answered_at = Instant::now();
             let mut newcomer = port.connect().await;
@@ -316,7 +316,7 @@
 #[test]
 fn busy_connection() {
     run(async {
-        let port = serve_port(ConnectionLimits { most: 1, ..wide_limits() });
+        let port = serve_port(ConnectionLimits { max_open: 1, ..wide_limits() });
         let mut busy = port.connect_and_ask().await;
         send_unseen(&busy, SLOW_REQUEST);
         while port.in_flight.count() == 0 {
--- a/crates/jackdawpier_entry/tests/followed_configuration.rs
+++ b/crates/jackdawpier_entry/tests/followed_configuration.rs
@@ -6,7 +6,7 @@
 
 use jackdawpier_entry::{
     clock,
-    configuration::{Active, follow},
+    configuration::{ActiveConfiguration, follow},
     events::Events,
 };
 use support::{Fake, run, wait_until};
@@ -14,15 +14,15 @@
 const KEY: &str = "configuration";
 
 /// An entry that has the first version in force.
-async fn start(fake: &Fake) -> Active {
+async fn start(fake: &Fake) -> ActiveConfiguration {
     fake.put(KEY, b"1");
-    let active = Active::default();
+    let active = ActiveConfiguration::default();
     tokio::task::spawn_local(follow(fake.clone(), active.clone(), Events::new("a")));
     assert!(wait_until(|| version(&active) == Some(1)).await);
     active
 }
 
-fn version(active: &Active) -> Option<u64> {
+fn version(active: &ActiveConfiguration) -> Option<u64> {
     active.get().map(|current| current.version)
 }
 
@@ -34,7 +34,7 @@
         let active = start(&fake).await;
         tokio::time::sleep(Duration::from_secs(3)).await;
         assert!(fake.reads() <= 1, "{} readings in three seconds", fake.reads());
-        assert!(active.is_in_touch(clock::now()));
+        assert!(active.is_current(clock::now()));
         fake.put(KEY, b"2");
         tokio::time::sleep(Duration::from_millis(200)).await;
         assert_eq!(version(&active), Some(2));
@@ -49,11 +49,11 @@
         let active = start(&fake).await;
         fake.set_down(true);
         tokio::time::sleep(Duration::from_millis(3200)).await;
-        assert!(!active.is_in_touch(clock::now()));
+        assert!(!active.is_current(clock::now()));
         fake.put(KEY, b"2");
         fake.set_down(false);
         tokio::time::sleep(Duration::from_millis(500)).await;
-        assert!(active.is_in_touch(clock::now()));
+        assert!(active.is_current(clock::now()));
         assert_eq!(version(&active), Some(2));
     });
 }
@@ -69,6 +69,6 @@
         let before = fake.watches();
         tokio::time::sleep(Duration::from_secs(1)).await;
         assert!(fake.watches() - before <= 5, "{} in a second", fake.watches() - before);
-        assert!(active.is_in_touch(clock::now()));
+        assert!(active.is_current(clock::now()));
     });
 }
--- a/crates/jackdawpier_entry/tests/key_proof.rs
+++ b/crates/jackdawpier_entry/tests/key_proof.rs
@@ -6,7 +6,7 @@
 
 use jackdawpier_entry::{
     clock,
-    configuration::{Active, follow},
+    configuration::{ActiveConfiguration, follow},
     events::Events,
     freshness::prove_configuration,
 };
@@ -16,9 +16,9 @@
 const HOLDS_FOR: Duration = Duration::from_millis(2500);
 
 /// An entry that has the first version in force and proves it.
-async fn start(fake: &Fake, document: &str) -> Active {
+async fn start(fake: &Fake, document: &str) -> ActiveConfiguration {
     fake.put(KEY, document.as_bytes());
-    let active = Active::new(Some(HOLDS_FOR));
+    let active = ActiveConfiguration::new(Some(HOLDS_FOR));
     tokio::task::spawn_local(follow(fake.clone(), active.clone(), Events::new("a")));
     tokio::task::spawn_local(prove_configuration(fake.clone(), active.clone(), Events::new("a")));
     assert!(wait_until(|| active.get().is_some()).await);
@@ -33,7 +33,7 @@
         let active = start(&fake, "1 standing:shop").await;
         for _ in 0..40 {
             tokio::time::sleep(Duration::from_millis(100)).await;
-            assert!(active.can_prove_keys(clock::now()));
+            assert!(active.can_verify_keys(clock::now()));
         }
         assert!(fake.commits() <= 4, "{} calls in four seconds", fake.commits());
     });
@@ -63,11 +63,11 @@
         let active = start(&fake, "1 standing:shop").await;
         fake.set_down(true);
         tokio::time::sleep(HOLDS_FOR).await;
-        assert!(!active.can_prove_keys(clock::now()));
+        assert!(!active.can_verify_keys(clock::now()));
         fake.set_down(false);
         let since = clock::now();
         assert!(active.wait_for_proof_since(since, Duration::from_secs(1)).await);
-        assert!(active.can_prove_keys(clock::now()));
+        assert!(active.can_verify_keys(clock::now()));
     });
 }
 
@@ -80,7 +80,7 @@
         fake.fail_next_writes(&[WriteFault::AnswerLost; 20]);
         for _ in 0..50 {
             tokio::time::sleep(Duration::from_millis(100)).await;
-            assert!(active.can_prove_keys(clock::now()));
+            assert!(active.can_verify_keys(clock::now()));
         }
     });
 }
@@ -97,7 +97,7 @@
         fake.fail_next_writes(&[WriteFault::Refused; 200]);
         for _ in 0..20 {
             active.wait_for_proof_since(clock::now(), Duration::from_millis(100)).await;
-            assert!(active.can_prove_keys(clock::now()));
+            assert!(active.can_verify_keys(clock::now()));
         }
         let readings = document_readings() - before;
         assert!(readings <= 2, "{readings} readings of the document in two seconds");
@@ -149,7 +149,7 @@
         let active = start(&fake, "1").await;
         tokio::time::sleep(Duration::from_secs(3)).await;
         assert_eq!(fake.commits(), 0);
-        assert!(active.can_prove_keys(clock::now()));
+        assert!(active.can_verify_keys(clock::now()));
     });
 }
 
--- a/crates/jackdawpier_entry/tests/late_questions.rs
+++ b/crates/jackdawpier_entry/tests/late_questions.rs
@@ -5,7 +5,7 @@
 use std::{sync::Arc, time::Duration};
 
 use hyper::Method;
-use jackdawpier_entry::http_client::{Call, HttpClient, NoAnswer, Obstacle};
+use jackdawpier_entry::http_client::{Call, HttpClient, NoAnswer, SendFailure};
 use support::{CONFIGURATION, Entry, Fake, put_job, run};
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
@@ -66,7 +66,7 @@
         drop(listener);
         let call = Call::new(Method::GET, "/");
         let answer = HttpClient::default().call(&host, &call, PATIENCE).await;
-        assert_eq!(answer.err(), Some(NoAnswer::NotSent(Obstacle::Refused)));
+        assert_eq!(answer.err(), Some(NoAnswer::NotSent(SendFailure::Refused)));
     });
 }
 
--- a/crates/jackdawpier_entry/tests/link.rs
+++ b/crates/jackdawpier_entry/tests/link.rs
@@ -6,12 +6,12 @@
 
 #[test]
 fn slow_link() {
-    assert_eq!(link::time_of_bits(512_000.0, 2.0, 1.0), Duration::from_millis(256));
-    assert_eq!(link::time_of_values(100_000, 2.0, 0.5), Duration::from_millis(1200));
+    assert_eq!(link::transfer_time_of_bits(512_000.0, 2.0, 1.0), Duration::from_millis(256));
+    assert_eq!(link::transfer_time_of_values(100_000, 2.0, 0.5), Duration::from_millis(1200));
 }
 
 /// Settings without a usable figure lead to a long wait, not to one without end.
 #[test]
 fn no_link() {
-    assert!(link::time_of_values(100_000, 0.0, 0.1) < Duration::from_secs(600));
+    assert!(link::transfer_time_of_values(100_000, 0.0, 0.1) < Duration::from_secs(600));
 }
--- a/crates/jackdawpier_entry/tests/log_volume.rs
+++ b/crates/jackdawpier_entry/tests/log_volume.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use jackdawpier_entry::log_volume::{LeftOut, LogVolume};
+use jackdawpier_entry::log_volume::{LogVolume, SuppressedLines};
 
 const BURST: u64 = 3000;
 
@@ -20,7 +20,7 @@
     assert!(started < BURST);
     assert!(volume.admit("task_given_up") && volume.admit("job_over"));
     let left_out = volume.begin_second(now + Duration::from_secs(1));
-    assert_eq!(left_out, [LeftOut { kind: "task_started", lines: BURST - started }]);
+    assert_eq!(left_out, [SuppressedLines { kind: "task_started", lines: BURST - started }]);
     assert!(volume.admit("task_started"), "a new second");
 }
 
--- a/crates/jackdawpier_entry/tests/metrics.rs
+++ b/crates/jackdawpier_entry/tests/metrics.rs
@@ -19,7 +19,7 @@
 #[test]
 fn latency_histogram() {
     let events = Events::new("entry");
-    events.metrics().took(Latency::Write, Duration::from_millis(20));
+    events.metrics().observe(Latency::Write, Duration::from_millis(20));
     let text = events.metrics().text();
     assert!(text.contains("jackdawpier_record_write_seconds_count 1"), "{text}");
 }
@@ -27,7 +27,7 @@
 #[test]
 fn connection_counts() {
     let events = Events::new("entry");
-    let counts = ConnectionCounts { open: 3, idle_closed: 4, closed_for_room: 5, broken_off: 6 };
+    let counts = ConnectionCounts { open: 3, idle_closed: 4, evicted: 5, aborted: 6 };
     events.metrics().set_connections(counts);
     let text = events.metrics().text();
     assert!(text.contains("jackdawpier_open_connections 3"), "{text}");
--- a/crates/jackdawpier_entry/tests/ownership.rs
+++ b/crates/jackdawpier_entry/tests/ownership.rs
@@ -5,7 +5,7 @@
 use std::{rc::Rc, time::Duration};
 
 use jackdawpier_entry::{
-    configuration::Active,
+    configuration::ActiveConfiguration,
     events::Events,
     keys,
     owner::{FleetHandle, compete_for_ownership},
@@ -175,8 +175,8 @@
     run(async {
         let fake = Fake::default();
         fake.put("executors/executor-1", b"");
-        let active = Active::default();
-        active.offer(configuration(1), 1);
+        let active = ActiveConfiguration::default();
+        active.adopt_if_newer(configuration(1), 1);
         let entries = ["a", "b", "c"].map(|entry| {
             let settings = Rc::new(EntrySettings { cpu_share: 0.12, ..settings(entry) });
             let (cell, events) = (FleetHandle::default(), Events::new(entry));
--- a/crates/jackdawpier_entry/tests/shared_proof.rs
+++ b/crates/jackdawpier_entry/tests/shared_proof.rs
@@ -7,7 +7,7 @@
 use jackdawpier_entry::{
     access::Proof,
     clock,
-    configuration::{Active, follow},
+    configuration::{ActiveConfiguration, follow},
     events::Events,
     freshness::prove_configuration,
     keys,
@@ -22,13 +22,14 @@
 
 struct Prover {
     connection: Fake,
-    active: Active,
+    active: ActiveConfiguration,
     proving: JoinHandle<()>,
 }
 
 impl Prover {
-    fn start(fake: &Fake, holds_for: Duration) -> Self {
-        let (connection, active) = (fake.with_own_connection(), Active::new(Some(holds_for)));
+    fn start(fake: &Fake, valid_for: Duration) -> Self {
+        let (connection, active) =
+            (fake.with_own_connection(), ActiveConfiguration::new(Some(valid_for)));
         tokio::task::spawn_local(follow(connection.clone(), active.clone(), Events::new("a")));
         let proving = prove_configuration(connection.clone(), active.clone(), Events::new("a"));
         let proving = tokio::task::spawn_local(proving);
@@ -36,15 +37,15 @@
     }
 
     fn can_prove(&self) -> bool {
-        self.active.can_prove_keys(clock::now())
+        self.active.can_verify_keys(clock::now())
     }
 }
 
-async fn start(fake: &Fake, count: usize, holds_for: Duration) -> Vec<Prover> {
+async fn start(fake: &Fake, count: usize, valid_for: Duration) -> Vec<Prover> {
     if fake.value(CONFIGURATION).is_none() {
         fake.put(CONFIGURATION, b"1 standing:shop");
     }
-    let provers: Vec<_> = (0..count).map(|_| Prover::start(fake, holds_for)).collect();
+    let provers: Vec<_> = (0..count).map(|_| Prover::start(fake, valid_for)).collect();
     assert!(wait_until(|| provers.iter().all(Prover::can_prove)).await);
     provers
 }
@@ -86,8 +87,8 @@
 fn cut_off() {
     run(async {
         let fake = Fake::default();
-        let holds_for = Duration::from_millis(3000);
-        let provers = start(&fake, 14, holds_for).await;
+        let valid_for = Duration::from_millis(3000);
+        let provers = start(&fake, 14, valid_for).await;
         let mut cuts = Vec::new();
         for (prover, version) in provers.iter().zip(2..) {
             tokio::time::sleep(Duration::from_millis(100)).await;
@@ -96,7 +97,7 @@
             cuts.push((clock::now(), prover));
         }
         for (cut_at, prover) in cuts {
-            tokio::time::sleep((cut_at + holds_for).saturating_sub(clock::now())).await;
+            tokio::time::sleep((cut_at + valid_for).saturating_sub(clock::now())).await;
             assert!(!prover.can_prove());
         }
     });
@@ -122,7 +123,7 @@
     shared.on_read(s(1), Some(&note(5, 3)));
     let reading = shared.on_read(s(11), Some(&note(9, 3)));
     let Reading::Confirmed { at, .. } = reading else { panic!("{reading:?}") };
-    let proof = Proof { asked_at: Some(at), holds_for: Some(HOLDS_FOR) };
+    let proof = Proof { asked_at: Some(at), valid_for: Some(HOLDS_FOR) };
     assert!(!proof.holds(s(11)));
 }
 
--- a/crates/jackdawpier_entry/tests/speed.rs
+++ b/crates/jackdawpier_entry/tests/speed.rs
@@ -4,7 +4,7 @@
 
 use std::{cell::Cell, time::Duration};
 
-use jackdawpier_entry::{keys, speed::Speed};
+use jackdawpier_entry::{keys, speed::MachineSpeed};
 use support::{Fake, run, start_owner, start_owner_with_speed, wait_until};
 
 thread_local! {
@@ -12,9 +12,9 @@
     static TAKES: Cell<Duration> = const { Cell::new(Duration::from_micros(10)) };
 }
 
-fn changing_speed() -> Speed {
+fn changing_speed() -> MachineSpeed {
     TAKES.set(Duration::from_micros(10));
-    Speed::new(|| TAKES.get())
+    MachineSpeed::new(|| TAKES.get())
 }
 
 fn owner_name(fake: &Fake) -> String {
@@ -28,12 +28,12 @@
 fn slow_machine() {
     let speed = changing_speed();
     TAKES.set(Duration::from_micros(60));
-    (0..4).for_each(|_| speed.observe());
+    (0..4).for_each(|_| speed.sample());
     assert!(!speed.is_slow());
-    speed.observe();
+    speed.sample();
     assert!(speed.is_slow());
     TAKES.set(Duration::from_micros(11));
-    (0..5).for_each(|_| speed.observe());
+    (0..5).for_each(|_| speed.sample());
     assert!(!speed.is_slow());
 }
 
@@ -62,7 +62,8 @@
     run(async {
         let fake = Fake::default();
         let (_first, _owning) = start_owner_with_speed(&fake, "a", changing_speed());
-        let (_second, _waiting) = start_owner_with_speed(&fake, "b", Speed::new(|| TAKES.get()));
+        let (_second, _waiting) =
+            start_owner_with_speed(&fake, "b", MachineSpeed::new(|| TAKES.get()));
         assert!(wait_until(|| !owner_name(&fake).is_empty()).await);
         TAKES.set(Duration::from_micros(60));
         tokio::time::sleep(Duration::from_secs(5)).await;
--- a/crates/jackdawpier_entry/tests/support/entry.rs
+++ b/crates/jackdawpier_entry/tests/support/entry.rs
@@ -7,8 +7,8 @@
 };
 
 use jackdawpier_entry::{
-    callers::Callers,
-    configuration::{Active, follow},
+    callers::CallerApi,
+    configuration::{ActiveConfiguration, follow},
     events::Events,
     freshness::prove_configuration,
     http_server::{InFlight, serve},
@@ -34,24 +34,24 @@
 impl Entry {
     /// Starts one whose keys have to be proved that often, and waits until it has a configuration, which
     /// is a plain one if the store holds none.
-    pub async fn start(fake: &Fake, holds_for: Option<Duration>) -> Self {
-        Self::start_with_owner(fake, holds_for, FleetHandle::default()).await
+    pub async fn start(fake: &Fake, valid_for: Option<Duration>) -> Self {
+        Self::start_with_owner(fake, valid_for, FleetHandle::default()).await
     }
 
     /// The same with the fleet, while it owns it.
     pub async fn start_with_owner(
         fake: &Fake,
-        holds_for: Option<Duration>,
+        valid_for: Option<Duration>,
         owner: FleetHandle,
     ) -> Self {
         if fake.value(CONFIGURATION).is_none() {
             fake.put(CONFIGURATION, b"1");
         }
-        let active = Active::new(holds_for);
+        let active = ActiveConfiguration::new(valid_for);
         let events = Events::new("a");
         tokio::task::spawn_local(follow(fake.clone(), active.clone(), events.clone()));
         tokio::task::spawn_local(prove_configuration(fake.clone(), active.clone(), events.clone()));
-        let callers = Rc::new(Callers {
+        let callers = Rc::new(CallerApi {
             platform: fake.clone(),
             active: active.clone(),
             intake: start_intake(fake),
@@ -66,7 +66,7 @@
         let answer = move |request| callers.clone().answer(request);
         tokio::task::spawn_local(serve(address, answer, InFlight::default(), stopping));
         let is_known =
-            || active.get().is_some() && (holds_for.is_none() || active.proof_age().is_some());
+            || active.get().is_some() && (valid_for.is_none() || active.proof_age().is_some());
         assert!(wait_until(is_known).await);
         Self { fake: fake.clone(), address, events, _stop: stop }
     }
--- a/crates/jackdawpier_entry/tests/support/fake.rs
+++ b/crates/jackdawpier_entry/tests/support/fake.rs
@@ -13,12 +13,12 @@
 };
 
 use jackdawpier_entry::{
-    arrivals::Arrivals,
     clock, keys,
     ports::{
         CallError, CallResult, Change, Changes, Item, LeaseId, Listing, Store, Transaction,
         TransactionOutcome,
     },
+    response_progress::ResponseProgress,
 };
 use jackdawpier_fleet::{
     executor::EndedTask,
@@ -313,8 +313,8 @@
 }
 
 impl Store for Fake {
-    fn arrivals(&self) -> Arrivals {
-        Arrivals::default()
+    fn arrivals(&self) -> ResponseProgress {
+        ResponseProgress::default()
     }
 
     fn sending_time(&self, _bytes: usize) -> Duration {
--- a/crates/jackdawpier_entry/tests/support/mod.rs
+++ b/crates/jackdawpier_entry/tests/support/mod.rs
@@ -10,12 +10,12 @@
 use jackdawpier_entry::{
     acceptance::{Intake, write_jobs},
     clock,
-    configuration::Active,
+    configuration::ActiveConfiguration,
     events::Events,
     keys,
     owner::{FleetHandle, compete_for_ownership},
     settings::EntrySettings,
-    speed::Speed,
+    speed::MachineSpeed,
 };
 use jackdawpier_fleet::{
     record::{JobOutcome, JobRecord},
@@ -50,15 +50,15 @@
         callers: ([127, 0, 0, 1], 0).into(),
         ready: ([127, 0, 0, 1], 0).into(),
         metrics: None,
-        grace: Duration::from_secs(1),
-        longest_lease: Duration::from_secs(5),
+        shutdown_grace: Duration::from_secs(1),
+        max_lease: Duration::from_secs(5),
         stop_timeout: Duration::from_millis(200),
-        maintenance: Duration::from_secs(2),
+        maintenance_duration: Duration::from_secs(2),
         remote_factor: 1.0,
         order_lease: Duration::from_secs(3),
-        shortest_ttl: Duration::from_secs(1),
-        revocation: None,
-        retention: Duration::from_secs(120),
+        min_lease_ttl: Duration::from_secs(1),
+        revocation_deadline: None,
+        job_retention: Duration::from_secs(120),
     }
 }
 
@@ -84,19 +84,19 @@
 }
 
 /// A machine that always runs at its best.
-pub fn steady_speed() -> Speed {
-    Speed::new(|| Duration::from_micros(10))
+pub fn steady_speed() -> MachineSpeed {
+    MachineSpeed::new(|| Duration::from_micros(10))
 }
 
 /// The same on a machine with this speed.
 pub fn start_owner_with_speed(
     fake: &Fake,
     entry: &str,
-    speed: Speed,
+    speed: MachineSpeed,
 ) -> (FleetHandle, tokio::task::JoinHandle<()>) {
     fake.put("executors/executor-1", b"");
-    let active = Active::default();
-    active.offer(configuration(1), 1);
+    let active = ActiveConfiguration::default();
+    active.adopt_if_newer(configuration(1), 1);
     let (cell, events) = (FleetHandle::default(), Events::new(entry));
     let (settings, incarnation) = (Rc::new(settings(entry)), "incarnation".to_owned());
     let owning = compete_for_ownership(
--- a/crates/jackdawpier_entry/tests/support/port.rs
+++ b/crates/jackdawpier_entry/tests/support/port.rs
@@ -13,7 +13,7 @@
 use hyper::{Request, Response, body::Incoming};
 use jackdawpier_entry::{
     connections::{ConnectionLimits, Connections},
-    http_server::{InFlight, Reply, serve_within},
+    http_server::{InFlight, Reply, serve_with_limits},
 };
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
@@ -35,7 +35,7 @@
 pub fn wide_limits() -> ConnectionLimits {
     let long = Duration::from_secs(60);
     ConnectionLimits {
-        most: 1000,
+        max_open: 1000,
         header_timeout: long,
         idle_timeout: long,
         idle_margin: Duration::ZERO,
@@ -73,8 +73,14 @@
     drop(listener);
     let (stop, stopping) = watch::channel(false);
     let (connections, in_flight) = (Connections::default(), InFlight::default());
-    let serving =
-        serve_within(address, connections.clone(), limits, answer, in_flight.clone(), stopping);
+    let serving = serve_with_limits(
+        address,
+        connections.clone(),
+        limits,
+        answer,
+        in_flight.clone(),
+        stopping,
+    );
     tokio::task::spawn_local(serving);
     Port { address, connections, in_flight, stop }
 }
