--- a/crates/jackdawpier_entry/src/owner.rs
+++ b/crates/jackdawpier_entry/src/owner.rs
@@ -1,5 +1,6 @@
-//! The loops of the entry that owns the fleet: they feed [`Fleet`] with what happens outside and
-//! carry its commands out. Nothing is decided here.
+//! The loops of the entry that owns the fleet.
+//!
+//! They pass external events to [`Fleet`] and execute its commands. All decisions are made in [`Fleet`].
 
 mod commits;
 mod executors;
@@ -40,47 +41,47 @@
     speed::MachineSpeed,
 };
 
-/// Longest time between two looks of the decisions at the clock.
-const TICK_INTERVAL: Duration = Duration::from_millis(50);
-/// Decisions gather what arrives within this time: a look costs up to 0.3 ms with 350 executors, and
-/// objectives are two seconds and more.
-const TICK_GATHER: Duration = Duration::from_millis(8);
-/// Leases of executors are this long at most. Long enough for a change of owners (two seconds and
-/// the take-over), short enough that tasks of a lost executor run again within six seconds.
-const EXECUTOR_LEASE: Duration = Duration::from_millis(5000);
-/// An order about a machine arrives within this time or never: the patience of its call, and more.
-const MACHINE_ORDER_TIME: Duration = Duration::from_millis(900);
-/// How often an owner looks at the speed of its machine: that it has turned slow is found within a quarter of
-/// a second, for 0.05% of a core.
-const SPEED_LOOK: Duration = Duration::from_millis(50);
-/// How often jobs that have been over for long are forgotten.
+/// Maximum time between two ticks of the fleet.
+const MAX_TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Events that arrive within this time share a tick: a tick takes up to 0.3 ms with 350 executors, and
+/// objectives are at least two seconds.
+const TICK_BATCH_DELAY: Duration = Duration::from_millis(8);
+/// Maximum executor lease. Outlasts a change of owners (two seconds and the takeover), and lets tasks of a
+/// lost executor run again within six seconds.
+const MAX_EXECUTOR_LEASE: Duration = Duration::from_millis(5000);
+/// A machine order arrives within this time or never. Exceeds the timeout of the call.
+const MAX_MACHINE_ORDER_DELAY: Duration = Duration::from_millis(900);
+/// Interval between speed measurements: detects a slow machine within a quarter of a second, for 0.05% of a
+/// core.
+const SPEED_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between removals of jobs whose retention is over.
 const JOB_REMOVAL_INTERVAL: Duration = Duration::from_secs(10);
 
-/// The fleet, where callers' questions find it while this entry owns it.
+/// Gives callers' queries access to the fleet while this entry owns it.
 #[derive(Debug, Clone, Default)]
-pub struct FleetHandle(Rc<RefCell<Option<Owned>>>);
+pub struct FleetHandle(Rc<RefCell<Option<OwnedFleet>>>);
 
-/// The fleet in the term in which this entry owns it.
-type Owned = (Term, Rc<RefCell<Fleet>>);
+/// The fleet, with the term of ownership.
+type OwnedFleet = (Term, Rc<RefCell<Fleet>>);
 
 impl FleetHandle {
-    /// What is known of a job; none if this entry doesn't own the fleet or doesn't know the job.
+    /// Returns the state of a job; `None` if this entry doesn't own the fleet or doesn't know the job.
     pub fn view(&self, id: &str) -> Option<JobView> {
         self.with(|fleet| fleet.view(id)).flatten()
     }
 
-    /// The same with the client account that it belongs to.
+    /// Returns the state of a job and the client account that it belongs to.
     pub fn job_with_account(&self, id: &str) -> Option<(JobView, Option<AccountName>)> {
         let read = |fleet: &Fleet| Some((fleet.view(id)?, fleet.account_of(id)?.cloned()));
         self.with(read).flatten()
     }
 
-    /// Whether the end of a job is on its way to the store.
+    /// Whether the end of a job is being written to the store.
     pub fn is_ending(&self, id: &str) -> bool {
         self.with(|fleet| fleet.is_ending(id)).unwrap_or(false)
     }
 
-    /// Jobs of a queue that haven't begun; none if this entry doesn't own the fleet.
+    /// Returns the number of pending jobs of a queue; `None` if this entry doesn't own the fleet.
     pub fn pending_count(&self, queue: &QueueName) -> Option<u64> {
         self.with(|fleet| fleet.pending().get(queue).copied().unwrap_or(0))
     }
@@ -91,17 +92,17 @@
         term.is_valid().then(|| read(&fleet.borrow()))
     }
 
-    /// Ends the ownership, if there is one.
+    /// Releases the ownership, if this entry has it.
     pub async fn release<P: Platform>(&self, platform: &P) {
-        let held = self.0.borrow_mut().take();
-        if let Some((term, _)) = held {
-            // If this fails the lease ends by itself.
+        let owned = self.0.borrow_mut().take();
+        if let Some((term, _)) = owned {
+            // If this fails, the lease expires.
             let _ = term.release(platform).await;
         }
     }
 }
 
-/// What the loops of one term share.
+/// State that the loops of one term share.
 pub(crate) struct Owner<P> {
     pub(crate) platform: P,
     pub(crate) settings: Rc<EntrySettings>,
@@ -109,20 +110,20 @@
     pub(crate) fleet: Rc<RefCell<Fleet>>,
     pub(crate) active: ActiveConfiguration,
     pub(crate) events: Events,
-    /// Something has happened that may let tasks start.
+    /// Notified of events that may let tasks start.
     pub(crate) changed: Notify,
-    /// Something waits to be written.
+    /// Notified of changes to write to the store.
     pub(crate) has_unwritten: Notify,
-    /// Executors that have a loop of their own.
+    /// Executors with a polling loop.
     pub(crate) polled_executors: RefCell<HashSet<ExecutorId>>,
-    /// What the loop and the orders of each executor share.
+    /// State that the polling loop and the orders of each executor share.
     pub(crate) sessions: RefCell<HashMap<ExecutorId, Rc<executors::Session>>>,
-    /// Machines that were ordered lately.
+    /// Recent machine orders.
     pub(crate) order_note: order_note::OrderNote,
-    /// Whether the watch of the intake is to be doubted.
+    /// When the intake is listed next.
     pub(crate) intake_listings: RefCell<ListingSchedule>,
-    /// Revision of the store at which the configuration was written that the decisions go by.
-    configured_at: Cell<Option<Revision>>,
+    /// Revision of the configuration that the fleet uses.
+    configured_revision: Cell<Option<Revision>>,
 }
 
 impl<P: Platform> Owner<P> {
@@ -130,14 +131,14 @@
         self.term.is_valid()
     }
 
-    /// Lets decisions see the time and carries their commands out.
+    /// Advances the fleet to the current time and executes its commands.
     pub(crate) fn tick(self: &Rc<Self>) {
         self.configure();
         self.fleet.borrow_mut().tick(clock::now(), clock::wall_ms());
         self.execute_commands();
     }
 
-    /// Carries out what has been decided.
+    /// Executes the fleet's commands.
     pub(crate) fn execute_commands(self: &Rc<Self>) {
         self.log_losses();
         let commands = self.fleet.borrow_mut().take_commands();
@@ -166,7 +167,7 @@
     fn configure(&self) {
         let Some(current) = self.active.get() else { return };
         let revision = Some(self.active.revision());
-        if self.configured_at.replace(revision) == revision {
+        if self.configured_revision.replace(revision) == revision {
             return;
         }
         let queues = current.routes.iter().map(|route| route.queue.clone()).collect();
@@ -176,17 +177,17 @@
 
     async fn tick_loop(self: Rc<Self>) {
         while self.is_valid() {
-            // Whether it is time or news that wakes it makes no difference.
-            let _ = tokio::time::timeout(TICK_INTERVAL, self.changed.notified()).await;
-            tokio::time::sleep(TICK_GATHER).await;
+            // A timeout and a notification have the same effect.
+            let _ = tokio::time::timeout(MAX_TICK_INTERVAL, self.changed.notified()).await;
+            tokio::time::sleep(TICK_BATCH_DELAY).await;
             if self.is_valid() {
                 self.tick();
             }
         }
     }
 
-    /// Renews on time whether or not the last renewal has been answered: with a store that takes 0.4 s
-    /// an answer, waiting for each cost the ownership, and six seconds without starts.
+    /// Renews the lease on schedule without waiting for the previous renewal: with a store that takes 0.4 s per
+    /// answer, waiting lost the ownership and stopped starts for six seconds.
     async fn renew_loop(self: Rc<Self>) {
         while self.is_valid() {
             let owner = self.clone();
@@ -203,14 +204,14 @@
         self.term.confirm(&self.platform).await;
     }
 
-    /// Gives the fleet up once this machine has turned slow, so that one that hasn't decides. One that
-    /// was slow when it took over keeps it: nobody faster was there.
+    /// Ends the term once this machine becomes slow, so that another entry takes over. A machine that was slow
+    /// at the takeover keeps the fleet: no faster one was available.
     async fn monitor_speed(self: Rc<Self>, speed: MachineSpeed) {
         if speed.is_slow() {
             return;
         }
         while self.is_valid() {
-            tokio::time::sleep(SPEED_LOOK).await;
+            tokio::time::sleep(SPEED_CHECK_INTERVAL).await;
             speed.sample();
             if speed.is_slow() {
                 let fields = json!({ "fence": self.term.fence, "part": speed.relative_speed() });
@@ -223,9 +224,9 @@
     async fn remove_ended_jobs_loop(self: Rc<Self>) {
         while self.is_valid() {
             tokio::time::sleep(JOB_REMOVAL_INTERVAL).await;
-            let forgotten =
+            let removed =
                 self.fleet.borrow_mut().forget_jobs(clock::now(), self.settings.job_retention);
-            for job in forgotten {
+            for job in removed {
                 self.remove_job(&job).await;
             }
         }
@@ -233,23 +234,23 @@
 }
 
 fn fleet_settings(settings: &EntrySettings) -> FleetSettings {
-    let lease = settings.max_lease.min(EXECUTOR_LEASE);
+    let lease = settings.max_lease.min(MAX_EXECUTOR_LEASE);
     FleetSettings {
         lease,
         longest_lease: settings.max_lease,
-        // An owner that was cut off may have renewed until its own lease ended.
+        // A partitioned owner may have renewed executor leases until its own lease expired.
         takeover_uncertainty: ownership::lease_ttl(settings.min_lease_ttl)
             + lease * 21 / 20
             + Duration::from_millis(300),
         stop_timeout: settings.stop_timeout,
         maintenance: settings.maintenance_duration,
         remote_factor: settings.remote_factor,
-        order_lease: settings.order_lease + MACHINE_ORDER_TIME,
+        order_lease: settings.order_lease + MAX_MACHINE_ORDER_DELAY,
         policy: Policy::default(),
     }
 }
 
-/// Becomes the owner whenever there is none, and acts as such while it lasts.
+/// Acquires the ownership whenever it is free, and runs the owner's loops until the term ends.
 pub async fn compete_for_ownership<P: Platform>(
     platform: P,
     settings: Rc<EntrySettings>,
@@ -266,17 +267,19 @@
         ttl: ownership::lease_ttl(settings.min_lease_ttl),
     };
     loop {
-        // A slow machine is as good as a small one.
+        // A slow machine counts as a small one.
         speed.sample();
-        let part = if speed.is_slow() { speed.relative_speed() } else { 1.0 };
-        candidate.cpu_share = settings.cpu_share * part;
+        let speed_factor = if speed.is_slow() { speed.relative_speed() } else { 1.0 };
+        candidate.cpu_share = settings.cpu_share * speed_factor;
         let acquired = ownership::acquire(&platform, &candidate).await;
         if let Ok(Some(term)) = acquired {
             events.emit("owner", json!({ "fence": term.fence }));
             let fence = term.fence;
             run_term(&platform, &settings, &active, &cell, &events, &speed, term.clone()).await;
-            let former = platform.clone();
-            tokio::task::spawn_local(async move { term.release_with_retries(&former).await });
+            let term_platform = platform.clone();
+            tokio::task::spawn_local(
+                async move { term.release_with_retries(&term_platform).await },
+            );
             cell.0.borrow_mut().take();
             events.metrics().set_owner(false);
             events.emit("owner_no_more", json!({ "fence": fence }));
@@ -307,8 +310,11 @@
         polled_executors: RefCell::new(HashSet::new()),
         sessions: RefCell::new(HashMap::new()),
         order_note: order_note::OrderNote::default(),
-        intake_listings: RefCell::new(ListingSchedule::new(clock::now(), intake::LIST_INTERVAL)),
-        configured_at: Cell::new(None),
+        intake_listings: RefCell::new(ListingSchedule::new(
+            clock::now(),
+            intake::MAX_LIST_INTERVAL,
+        )),
+        configured_revision: Cell::new(None),
     });
     tokio::task::spawn_local(owner.clone().renew_loop());
     let Some(watch_from) = owner.take_over().await else { return };
--- a/crates/jackdawpier_entry/src/owner/commits.rs
+++ b/crates/jackdawpier_entry/src/owner/commits.rs
@@ -1,4 +1,4 @@
-//! Writing the fleet's changes in groups.
+//! Writes the fleet's changes to the store in batches.
 
 use std::{cell::Cell, rc::Rc, time::Duration};
 
@@ -14,96 +14,100 @@
     ports::{CallError, Platform, Transaction, TransactionOutcome},
 };
 
-/// Rows of records in one transaction: with the condition on the owner's key one less than the 32
-/// that it may have.
-const ROWS_PER_WRITE: usize = 30;
+/// Maximum rows of records in one transaction. A transaction may have 32 rows, and one is the condition on the
+/// owner's key.
+const MAX_ROWS_PER_WRITE: usize = 30;
 /// A batch with this many rows is full: the next job might not fit.
-const FULL_ROWS: usize = ROWS_PER_WRITE - 3;
-/// Writes under way at once to a store that answers as usual; they concern different jobs.
-const WRITES_AT_ONCE: usize = 4;
-/// The same to a store however slow: with 0.32 s an answer some 1,200 records a second, a turn of demand
-/// on 540 executors.
-const MOST_WRITES: usize = 32;
-/// One write more may be under way for each of these that an answer takes: 100 begin a second, however long
-/// each takes. With four always, of 400 jobs that came while the store took 0.32 s 175 were over after four
-/// seconds; now all are.
-const TIME_PER_WRITE: Duration = Duration::from_millis(10);
-/// Part of the newest answer's time in the mean.
-const NEW_PART: f64 = 0.2;
-/// Shortest time between two writes that aren't full: bounds them to some forty a second. It adds
-/// half of it to each start, where objectives are two seconds and more.
-const WRITE_INTERVAL: Duration = Duration::from_millis(25);
-/// Pause before a write is repeated.
-const REPEAT_PAUSE: Duration = Duration::from_millis(40);
-
-/// Part of the link that records may take: the rest is for orders and answers. What changes meanwhile goes
-/// into the next record of its job, so fewer are written. On 2 Mbit/s records filled the link, and orders
-/// waited behind them for half a second.
-const LINK_PART: f64 = 0.4;
-
-/// The time that a transaction takes of the part of the link that records may have.
+const FULL_BATCH_ROWS: usize = MAX_ROWS_PER_WRITE - 3;
+/// Concurrent writes to a store of usual latency. Concurrent writes concern different jobs.
+const MIN_CONCURRENT_WRITES: usize = 4;
+/// Maximum concurrent writes to a slow store. With 0.32 s per answer this is about 1,200 records a second, the
+/// changes of one burst of demand on 540 executors.
+const MAX_CONCURRENT_WRITES: usize = 32;
+/// One concurrent write is allowed per this much latency, so that 100 begin each second at any latency. With a
+/// fixed limit of four and a latency of 0.32 s, only 175 of 400 jobs ended within four seconds.
+const LATENCY_PER_WRITE: Duration = Duration::from_millis(10);
+/// Weight of the newest sample in the mean latency.
+const NEW_SAMPLE_WEIGHT: f64 = 0.2;
+/// Minimum time between two writes of batches that aren't full: limits them to about 40 a second. Adds half of
+/// this time to each start, where objectives are at least two seconds.
+const PARTIAL_WRITE_INTERVAL: Duration = Duration::from_millis(25);
+/// Delay before a write is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(40);
+
+/// Share of the link that records may use; the rest is for orders and answers. Changes during the pause go into
+/// the job's next record, so fewer records are written. Without this limit records filled a link of 2 Mbit/s,
+/// and orders waited behind them for half a second.
+const LINK_SHARE: f64 = 0.4;
+
+/// Returns the time that a transaction takes on the records' share of the link.
 fn link_time(transaction: &Transaction, link_mbps: f64) -> Duration {
     let bytes: usize = transaction.puts.iter().map(|(_, value, _)| value.len()).sum();
-    link::transfer_time_of_values(bytes, link_mbps, LINK_PART)
+    link::transfer_time_of_values(bytes, link_mbps, LINK_SHARE)
 }
 
-/// The writes under way, and how long they have taken.
+/// Tracks the writes in flight and their mean latency.
 #[derive(Default)]
-struct UnderWay {
+struct InFlightWrites {
     count: Cell<usize>,
-    mean: Cell<Duration>,
-    ended: Notify,
+    mean_latency: Cell<Duration>,
+    write_ended: Notify,
 }
 
-impl UnderWay {
+impl InFlightWrites {
     fn is_full(&self) -> bool {
-        let by_time = self.mean.get().as_millis() / TIME_PER_WRITE.as_millis();
-        self.count.get() >= (by_time as usize).clamp(WRITES_AT_ONCE, MOST_WRITES)
+        let by_latency = self.mean_latency.get().as_millis() / LATENCY_PER_WRITE.as_millis();
+        self.count.get()
+            >= (by_latency as usize).clamp(MIN_CONCURRENT_WRITES, MAX_CONCURRENT_WRITES)
     }
 
     fn begin(&self) {
         self.count.set(self.count.get() + 1);
     }
 
-    fn end(&self, took: Duration) {
+    fn end(&self, latency: Duration) {
         self.count.set(self.count.get() - 1);
-        self.mean.set(self.mean.get().mul_f64(1.0 - NEW_PART) + took.mul_f64(NEW_PART));
-        self.ended.notify_one();
+        self.mean_latency.set(
+            self.mean_latency.get().mul_f64(1.0 - NEW_SAMPLE_WEIGHT)
+                + latency.mul_f64(NEW_SAMPLE_WEIGHT),
+        );
+        self.write_ended.notify_one();
     }
 }
 
-enum WriteEnd {
+enum WriteOutcome {
     Durable(Vec<Revision>),
     Lost,
 }
 
 impl<P: Platform> Owner<P> {
     pub(super) async fn commit_loop(self: Rc<Self>) {
-        let under_way = Rc::new(UnderWay::default());
+        let in_flight = Rc::new(InFlightWrites::default());
         while self.is_valid() {
             if !self.fleet.borrow().has_changes() {
-                // Looks again by itself, so that the end of the term is noticed.
+                // The timeout lets the loop notice the end of the term.
                 let _ =
                     tokio::time::timeout(Duration::from_millis(200), self.has_unwritten.notified())
                         .await;
                 continue;
             }
-            if under_way.is_full() {
-                under_way.ended.notified().await;
+            if in_flight.is_full() {
+                in_flight.write_ended.notified().await;
                 continue;
             }
-            let batch = self.fleet.borrow_mut().take_batch(ROWS_PER_WRITE);
+            let batch = self.fleet.borrow_mut().take_batch(MAX_ROWS_PER_WRITE);
             let Some(batch) = batch else { continue };
             let rows: usize = batch.jobs.iter().map(ChangedJob::rows).sum();
-            let gather = if rows >= FULL_ROWS { Duration::ZERO } else { WRITE_INTERVAL };
+            let batch_delay =
+                if rows >= FULL_BATCH_ROWS { Duration::ZERO } else { PARTIAL_WRITE_INTERVAL };
             let transaction = self.transaction(&batch);
-            let pause = gather.max(link_time(&transaction, self.settings.link_mbps));
-            let (owner, under_way) = (self.clone(), under_way.clone());
-            under_way.begin();
+            let pause = batch_delay.max(link_time(&transaction, self.settings.link_mbps));
+            let (owner, in_flight) = (self.clone(), in_flight.clone());
+            in_flight.begin();
             tokio::task::spawn_local(async move {
                 let began_at = clock::now();
                 owner.write(batch, transaction).await;
-                under_way.end(clock::since(began_at));
+                in_flight.end(clock::since(began_at));
             });
             if !pause.is_zero() {
                 tokio::time::sleep(pause).await;
@@ -113,10 +117,10 @@
 
     async fn write(self: &Rc<Self>, batch: Batch, transaction: Transaction) {
         let began_at = clock::now();
-        let end = self.write_until_known(&batch, &transaction).await;
+        let outcome = self.write_until_known(&batch, &transaction).await;
         self.events.metrics().observe(Latency::Write, clock::since(began_at));
-        match end {
-            WriteEnd::Durable(revisions) => {
+        match outcome {
+            WriteOutcome::Durable(revisions) => {
                 self.fleet.borrow_mut().batch_durable(clock::now(), &batch, &revisions);
                 self.log_finished();
                 if self.is_valid() {
@@ -124,7 +128,7 @@
                     self.wake_acknowledgeable();
                 }
             }
-            WriteEnd::Lost => {
+            WriteOutcome::Lost => {
                 self.events.emit("write_lost", json!({ "batch": batch.number }));
                 self.term.mark_lost();
             }
@@ -146,8 +150,8 @@
         }
     }
 
-    /// Writes the records. What was handed in goes with the end of its job, so that listings of it
-    /// stay as short as the jobs are that aren't over.
+    /// Builds the transaction of a batch. Removes the submission together with the end of its job, so that
+    /// listings of submissions contain only jobs that haven't ended.
     fn transaction(&self, batch: &Batch) -> Transaction {
         let mut transaction = Transaction::default();
         transaction.expect.push((keys::OWNER.to_owned(), self.term.fence));
@@ -165,34 +169,34 @@
         transaction
     }
 
-    async fn write_until_known(&self, batch: &Batch, transaction: &Transaction) -> WriteEnd {
+    async fn write_until_known(&self, batch: &Batch, transaction: &Transaction) -> WriteOutcome {
         while self.is_valid() {
             match self.platform.commit(transaction).await {
                 Ok(TransactionOutcome::Committed(revision)) => {
-                    return WriteEnd::Durable(vec![revision; batch.jobs.len()]);
+                    return WriteOutcome::Durable(vec![revision; batch.jobs.len()]);
                 }
-                // An earlier try of this write whose answer was lost, or someone else's write.
+                // An earlier attempt whose answer was lost, or another owner's write.
                 Ok(TransactionOutcome::Conflict(items)) => {
                     let revisions: Option<Vec<Revision>> = transaction
                         .puts
                         .iter()
                         .map(|(key, value, _)| {
-                            let held = items.iter().find(|item| item.key == *key)?;
-                            (held.value == *value).then_some(held.revision)
+                            let stored = items.iter().find(|item| item.key == *key)?;
+                            (stored.value == *value).then_some(stored.revision)
                         })
                         .collect();
-                    return revisions.map_or(WriteEnd::Lost, WriteEnd::Durable);
+                    return revisions.map_or(WriteOutcome::Lost, WriteOutcome::Durable);
                 }
                 Err(error) => {
                     let fields = json!({ "batch": batch.number, "why": error.to_string() });
                     self.events.emit("write_failed", fields);
                     if matches!(error, CallError::LeaseEnded) {
-                        return WriteEnd::Lost;
+                        return WriteOutcome::Lost;
                     }
-                    tokio::time::sleep(REPEAT_PAUSE).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
         }
-        WriteEnd::Lost
+        WriteOutcome::Lost
     }
 }
--- a/crates/jackdawpier_entry/src/owner/explain.rs
+++ b/crates/jackdawpier_entry/src/owner/explain.rs
@@ -1,7 +1,7 @@
-//! What the owner says in its log of work that waits and of pools that lack machines.
+//! Logs of waiting work, machine shortages and executor losses.
 //!
-//! A job that doesn't begin leaves no decision to log; these lines tell why, once a second and a bounded
-//! number of them, see `docs/OPERATIONS.md`.
+//! A job that doesn't start causes no decision that could be logged. These lines state the reason once a
+//! second, and their number is limited. See `docs/OPERATIONS.md`.
 
 use std::{rc::Rc, time::Duration};
 
@@ -13,31 +13,31 @@
 use super::Owner;
 use crate::{clock, ports::Platform};
 
-/// A task that waits for longer than most objectives is explained.
+/// Waiting time from which a task is logged: longer than most objectives.
 const LONG_WAIT: Duration = Duration::from_millis(2500);
-/// How often that is said again.
-const INTERVAL: Duration = Duration::from_secs(1);
-/// Lines of each kind at a time.
-const LINES_AT_ONCE: usize = 5;
-/// Runs that the line of a lost executor names; most executors have room for fewer.
-const RUNS_NAMED: usize = 16;
+/// Interval between reports.
+const REPORT_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum lines of each kind in a report.
+const MAX_LINES_PER_REPORT: usize = 5;
+/// Maximum runs in the line of a lost executor; most executors have room for fewer.
+const MAX_LOGGED_RUNS: usize = 16;
 
 impl<P: Platform> Owner<P> {
     pub(super) async fn log_waits_loop(self: Rc<Self>) {
         while self.is_valid() {
-            tokio::time::sleep(INTERVAL).await;
+            tokio::time::sleep(REPORT_INTERVAL).await;
             let now = clock::now();
             let fleet = self.fleet.borrow();
-            for wait in fleet.longest_waiting_tasks(now, LONG_WAIT, LINES_AT_ONCE) {
-                self.events.emit("task_waits", explained(&wait));
+            for waiting in fleet.longest_waiting_tasks(now, LONG_WAIT, MAX_LINES_PER_REPORT) {
+                self.events.emit("task_waits", waiting_fields(&waiting));
             }
-            for shortage in fleet.shortages().iter().take(LINES_AT_ONCE) {
-                self.events.emit("pool_lacks", lacking(shortage));
+            for shortage in fleet.shortages().iter().take(MAX_LINES_PER_REPORT) {
+                self.events.emit("pool_lacks", shortage_fields(shortage));
             }
         }
     }
 
-    /// Says of each executor that was lost which tasks it took along, and which of them are blamed.
+    /// Logs each lost executor with its tasks, and which tasks are suspected, given up or in back-off.
     pub(super) fn log_losses(&self) {
         let (losses, task_crashes, given_up, backoffs) = {
             let mut fleet = self.fleet.borrow_mut();
@@ -45,28 +45,28 @@
             (losses, task_crashes, fleet.take_given_up_tasks(), fleet.take_crash_backoffs())
         };
         for loss in &losses {
-            self.events.emit("executor_lost", lost(loss));
+            self.events.emit("executor_lost", loss_fields(loss));
         }
         for task_crash in &task_crashes {
-            self.events.emit("task_suspect", blamed(task_crash));
+            self.events.emit("task_suspect", task_crash_fields(task_crash));
         }
         for task in &given_up {
-            self.events.emit("task_given_up", not_started_again(task));
+            self.events.emit("task_given_up", given_up_fields(task));
         }
         for backoff in &backoffs {
-            self.events.emit("task_held_back", tried_again_later(backoff));
+            self.events.emit("task_held_back", backoff_fields(backoff));
         }
     }
 }
 
-/// Executors of the task's service by obstacle.
-fn explained(wait: &WaitingTask) -> Value {
+/// Counts the executors of the task's service by obstacle.
+fn waiting_fields(waiting: &WaitingTask) -> Value {
     let Obstacles { open, leaving, silent, left_out, watched, vacating, unsuited, full } =
-        wait.obstacles;
+        waiting.obstacles;
     json!({
-        "task": wait.task.to_string(),
-        "waited_ms": wait.waited.as_millis() as u64,
-        "capped": wait.is_capped,
+        "task": waiting.task.to_string(),
+        "waited_ms": waiting.waited.as_millis() as u64,
+        "capped": waiting.is_capped,
         "open": open,
         "leaving": leaving,
         "silent": silent,
@@ -78,9 +78,9 @@
     })
 }
 
-/// The runs with the age of each, which tells whether one of them had just begun.
-fn lost(loss: &ExecutorLoss) -> Value {
-    let named = |run: &LostRun| {
+/// Includes the age of each run, which shows whether one had just started.
+fn loss_fields(loss: &ExecutorLoss) -> Value {
+    let run_fields = |run: &LostRun| {
         let age_ms = run.confirmed_age.map(|age| age.as_millis() as u64);
         json!({ "task": run.task.to_string(), "run": run.run, "age_ms": age_ms })
     };
@@ -89,11 +89,11 @@
         "evidence": format!("{:?}", loss.evidence),
         "silent_ms": loss.silent_for.map(|time| time.as_millis() as u64),
         "tasks": loss.runs.len(),
-        "runs": loss.runs.iter().take(RUNS_NAMED).map(named).collect::<Vec<_>>(),
+        "runs": loss.runs.iter().take(MAX_LOGGED_RUNS).map(run_fields).collect::<Vec<_>>(),
     })
 }
 
-fn blamed(task_crash: &TaskCrash) -> Value {
+fn task_crash_fields(task_crash: &TaskCrash) -> Value {
     let TaskCrash { task, run, executor, crash, crashes, .. } = task_crash;
     json!({
         "task": task.to_string(),
@@ -106,19 +106,19 @@
     })
 }
 
-fn not_started_again(given_up: &GivenUpTask) -> Value {
+fn given_up_fields(given_up: &GivenUpTask) -> Value {
     let GivenUpTask { task, run, crashes, job_goes_on } = given_up;
     json!({ "task": task.to_string(), "run": run, "crashes": crashes, "job_goes_on": job_goes_on })
 }
 
 /// Without a duration the task isn't started again.
-fn tried_again_later(backoff: &CrashBackoff) -> Value {
+fn backoff_fields(backoff: &CrashBackoff) -> Value {
     let CrashBackoff { task, run, crashes, duration } = backoff;
     let pause_ms = duration.map(|time| time.as_millis() as u64);
     json!({ "task": task.to_string(), "run": run, "crashes": crashes, "pause_ms": pause_ms })
 }
 
-fn lacking(shortage: &Shortage) -> Value {
+fn shortage_fields(shortage: &Shortage) -> Value {
     let Shortage { pool, label, holds, lacks, entitled } = shortage;
     let label = label.as_deref();
     json!({ "pool": **pool, "label": label, "holds": holds, "lacks": lacks, "entitled": entitled })
--- a/crates/jackdawpier_entry/src/owner/intake.rs
+++ b/crates/jackdawpier_entry/src/owner/intake.rs
@@ -1,4 +1,4 @@
-//! Accepted jobs and cancellations as they come in.
+//! Follows accepted jobs and cancellations in the store, and maintains what is derived from them.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -11,23 +11,23 @@
     ports::{CallError, Change, Platform, Transaction},
 };
 
-/// How long a watch waits for changes; short, since a silent connection looks like a calm one.
+/// Maximum duration of a watch; short, since a broken connection looks like one without changes.
 const WATCH_WAIT: Duration = Duration::from_millis(2000);
-/// Pause after a failed watch.
-const REPEAT_PAUSE: Duration = Duration::from_millis(50);
-/// A watch may miss changes without showing it; a full listing finds them this late.
-pub(super) const LIST_INTERVAL: Duration = Duration::from_millis(2500);
-/// Part of the link that listings may take where the watch gives no cause for them.
-const LINK_PART: f64 = 0.1;
-/// How often the silence of the watch is looked at.
-const SILENCE_LOOK: Duration = Duration::from_millis(100);
-/// How often the counts of jobs that haven't begun are written.
-const PENDING_INTERVAL: Duration = Duration::from_millis(1000);
+/// Delay before a failed watch is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Maximum time between two full listings, which find changes that the watch missed.
+pub(super) const MAX_LIST_INTERVAL: Duration = Duration::from_millis(2500);
+/// Share of the link that routine listings may use.
+const LINK_SHARE: f64 = 0.1;
+/// Interval at which the time of the next listing is checked.
+const LISTING_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval between writes of the counts of pending jobs.
+const PENDING_COUNTS_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// Time between two listings of this many bytes. In a burst what is open has 120 KB, half a second of a link
-/// of 2 Mbit/s, and renewals that waited behind it cost the ownership.
+/// Returns the time between two listings of this many bytes. In a burst the open jobs have 120 KB, half a second
+/// of a link of 2 Mbit/s, and lease renewals that waited behind a listing lost the ownership.
 fn list_interval(bytes: usize, link_mbps: f64) -> Duration {
-    LIST_INTERVAL.max(link::transfer_time_of_values(bytes, link_mbps, LINK_PART))
+    MAX_LIST_INTERVAL.max(link::transfer_time_of_values(bytes, link_mbps, LINK_SHARE))
 }
 
 impl<P: Platform> Owner<P> {
@@ -58,20 +58,20 @@
                         after = revision;
                     }
                 }
-                Err(_) => tokio::time::sleep(REPEAT_PAUSE).await,
+                Err(_) => tokio::time::sleep(RETRY_DELAY).await,
             }
         }
     }
 
-    /// Lists the intake now and then, and soon where the watch is suspiciously silent: a turn of demand
-    /// that began while watches heard nothing was unseen for 1.3 s.
+    /// Lists the intake at intervals, and early if the watch has unexpectedly reported nothing: a burst of jobs
+    /// that the watches missed would otherwise go unnoticed for 1.3 s.
     pub(super) async fn relist_intake(self: Rc<Self>) {
         while self.is_valid() {
             let wait = self.intake_listings.borrow().time_until_listing(clock::now());
             if wait.is_zero() {
                 self.list_intake().await;
             } else {
-                tokio::time::sleep(wait.min(SILENCE_LOOK)).await;
+                tokio::time::sleep(wait.min(LISTING_CHECK_INTERVAL)).await;
             }
         }
     }
@@ -79,7 +79,7 @@
     async fn list_intake(&self) -> Option<Revision> {
         let listing = self.platform.list(keys::INTAKE).await;
         let Ok(listing) = listing else {
-            // Not again before the next look, so that a failing store isn't pressed.
+            // Counts as a listing, so that a failing store isn't overloaded by retries.
             self.intake_listings.borrow_mut().on_listed(clock::now(), 0);
             return None;
         };
@@ -87,8 +87,8 @@
             return None;
         }
         let bytes: usize = listing.items.iter().map(|item| item.value.len()).sum();
-        let longest = list_interval(bytes, self.settings.link_mbps);
-        self.intake_listings.borrow_mut().set_max_interval(longest);
+        let max_interval = list_interval(bytes, self.settings.link_mbps);
+        self.intake_listings.borrow_mut().set_max_interval(max_interval);
         let found = self.ingest(Source::Listing, listing.items, &mut HashMap::new());
         self.intake_listings.borrow_mut().on_listed(clock::now(), found);
         if found > 0 {
@@ -110,11 +110,11 @@
             if let Err(error) = self.platform.commit(&transaction).await {
                 self.events.emit("pending_unpublished", json!({ "why": error.to_string() }));
             }
-            tokio::time::sleep(PENDING_INTERVAL).await;
+            tokio::time::sleep(PENDING_COUNTS_INTERVAL).await;
         }
     }
 
-    /// Removes what the store holds of a job that has been over for long.
+    /// Removes the store's items of a job whose retention is over.
     pub(super) async fn remove_job(&self, job: &str) {
         let transaction = Transaction {
             expect: vec![(keys::OWNER.to_owned(), self.term.fence)],
--- a/crates/jackdawpier_entry/src/owner/machines.rs
+++ b/crates/jackdawpier_entry/src/owner/machines.rs
@@ -1,4 +1,4 @@
-//! Machines and waves of maintenance, as the platform and operators list them.
+//! Follows the platform's machines and the operators' maintenance waves, and sends machine orders.
 
 use std::{rc::Rc, time::Duration};
 
@@ -11,27 +11,27 @@
     ports::{Platform, Transaction},
 };
 
-/// Shortest pause between two listings of machines and waves: how late the end of an executor and
-/// the return of a machine are seen.
-const LIST_PAUSE: Duration = Duration::from_millis(300);
-/// Part of the link that listings may take.
-const LINK_PART: f64 = 0.1;
-/// Size of a machine in a listing, in bits.
+/// Minimum interval between two listings of machines and waves. Delays the detection of an executor's end and
+/// of a machine's return.
+const MIN_LIST_INTERVAL: Duration = Duration::from_millis(300);
+/// Share of the link that listings may use.
+const LINK_SHARE: f64 = 0.1;
+/// Size of a machine in a listing.
 const BITS_PER_MACHINE: f64 = 2000.0;
-/// Pause before the state of a wave is written again.
-const REPEAT_PAUSE: Duration = Duration::from_millis(200);
+/// Delay before a failed write of a wave's state is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// The pause after a listing of this many machines over this link.
+/// Returns the pause after a listing of this many machines over a link of this speed.
 fn list_pause(machines: usize, link_mbps: f64) -> Duration {
     let bits = machines as f64 * BITS_PER_MACHINE;
-    LIST_PAUSE.max(link::transfer_time_of_bits(bits, link_mbps, LINK_PART))
+    MIN_LIST_INTERVAL.max(link::transfer_time_of_bits(bits, link_mbps, LINK_SHARE))
 }
 
 impl<P: Platform> Owner<P> {
     pub(super) async fn follow_machines(self: Rc<Self>) {
         while self.is_valid() {
             let asked_at = clock::now();
-            let mut pause = LIST_PAUSE;
+            let mut pause = MIN_LIST_INTERVAL;
             match self.platform.machines().await {
                 Ok(machines) if self.is_valid() => {
                     pause = list_pause(machines.len(), self.settings.link_mbps);
@@ -54,12 +54,12 @@
     async fn list_waves(&self) {
         let Ok(listing) = self.platform.list(self.platform.wave_prefix()).await else { return };
         let mut waves = Vec::new();
-        let mut is_whole = true;
+        let mut is_complete = true;
         for item in &listing.items {
             match self.platform.read_wave(&item.value) {
                 Ok(wave) => waves.push((wave, Duration::ZERO)),
                 Err(error) => {
-                    is_whole = false;
+                    is_complete = false;
                     self.log_unreadable(&item.key, &error.to_string());
                 }
             }
@@ -78,35 +78,35 @@
             return;
         }
         let mut fleet = self.fleet.borrow_mut();
-        fleet.set_waves(clock::now(), waves, is_whole);
+        fleet.set_waves(clock::now(), waves, is_complete);
         for (number, machines) in maintained {
             fleet.recover_wave(number, machines);
         }
     }
 
-    /// Sends an order about a machine, once it is noted and the store has confirmed the ownership:
-    /// nothing else keeps a former owner's order from mixing with a later one's. That may take seconds, after which it is
-    /// asked again whether the order may leave.
+    /// Sends a machine order after recording it in the store and confirming the ownership, which alone keep a
+    /// previous owner's order from conflicting with a later one's. This may take seconds, so the fleet is asked
+    /// afterwards whether the order may still be sent.
     pub(super) async fn order_machine(self: Rc<Self>, order: MachineOrder) {
-        let is_noted = self.record_order(&order.machine).await;
-        let may_leave =
-            is_noted && self.fleet.borrow().may_send_machine_order(clock::now(), &order);
-        let end = if may_leave {
+        let is_recorded = self.record_order(&order.machine).await;
+        let may_send =
+            is_recorded && self.fleet.borrow().may_send_machine_order(clock::now(), &order);
+        let outcome = if may_send {
             self.platform.send_order(&order, &self.settings.entry, self.term.fence).await
         } else {
             MachineOrderOutcome::NotTaken
         };
         self.order_note.order_ended(clock::now(), &order.machine);
-        let fields = json!({ "machine": *order.machine, "work": format!("{:?}", order.work), "end": format!("{end:?}"), "left": may_leave });
+        let fields = json!({ "machine": *order.machine, "work": format!("{:?}", order.work), "end": format!("{outcome:?}"), "left": may_send });
         self.events.emit("machine_ordered", fields);
         if self.is_valid() {
-            self.fleet.borrow_mut().machine_order_ended(clock::now(), &order, end);
+            self.fleet.borrow_mut().machine_order_ended(clock::now(), &order, outcome);
             self.execute_commands();
             self.changed.notify_one();
         }
     }
 
-    /// Writes the state of a wave for operators and for later owners.
+    /// Writes the state of a wave for operators and later owners.
     pub(super) async fn publish_wave(self: Rc<Self>, state: WaveState) {
         let (key, value) = self.platform.encode_wave_status(&state);
         let maintained = serde_json::to_vec(&state.maintained).unwrap_or_default();
@@ -121,7 +121,7 @@
                 self.events.emit("wave", fields);
                 return;
             }
-            tokio::time::sleep(REPEAT_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
--- a/crates/jackdawpier_entry/src/owner/order_note.rs
+++ b/crates/jackdawpier_entry/src/owner/order_note.rs
@@ -1,8 +1,8 @@
-//! Which machines were ordered lately, as the next owner finds it.
+//! A stored note of recent machine orders for the next owner.
 //!
-//! Orders about machines aren't fenced: two owners must not order one machine within some seconds.
-//! Each order is noted before it leaves, in a write that also confirms the ownership. So the next
-//! owner leaves alone what its predecessor ordered, and may order all else at once.
+//! Machine orders aren't fenced: two owners must not send orders for the same machine within some seconds.
+//! Each order is recorded in the note before it is sent, by a write that also confirms the ownership. The next
+//! owner waits with orders for the machines in the note, and may send orders for all others at once.
 
 use std::{
     cell::{Cell, RefCell},
@@ -23,89 +23,90 @@
     ports::{CallResult, Platform, Transaction, TransactionOutcome},
 };
 
-/// Pause before a note that couldn't be read is asked for again.
-const REPEAT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a failed read of the note is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How often the note is looked at for orders that don't matter any more.
-const TIDY_INTERVAL: Duration = Duration::from_secs(1);
+/// Interval at which outdated orders are removed from the note.
+const PRUNE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// A machine in the note.
+/// The last order for a machine, as the note contains it.
 #[derive(Debug, Serialize, Deserialize)]
-struct Noted {
+struct RecordedOrder {
     machine: MachineId,
-    /// Time from its last order to the write of the note. Ages need no common clock.
+    /// Time from the last order to the write of the note. An age needs no common clock.
     age_ms: u64,
 }
 
 /// The note of one term.
 #[derive(Debug, Default)]
 pub(crate) struct OrderNote {
-    /// When the last order about each machine was over; none while it is about to leave or under way.
-    ordered_at: RefCell<BTreeMap<MachineId, Option<Now>>>,
-    /// Orders that were added, and how many of them the store holds.
+    /// When the last order for each machine ended; `None` while it is about to be sent or in flight.
+    order_ended_at: RefCell<BTreeMap<MachineId, Option<Now>>>,
+    /// Number of orders added, and how many of them are in the stored note.
     added: Cell<u64>,
     written: Cell<u64>,
-    /// Of the note in the store; none while a write of it has an unknown outcome.
+    /// Revision of the stored note; `None` while the outcome of a write is unknown.
     revision: Mutex<Option<Revision>>,
 }
 
 impl OrderNote {
     fn add(&self, machine: &MachineId) -> u64 {
-        self.ordered_at.borrow_mut().insert(machine.clone(), None);
+        self.order_ended_at.borrow_mut().insert(machine.clone(), None);
         self.added.set(self.added.get() + 1);
         self.added.get()
     }
 
-    /// An order about a machine is over, whether it left or not.
+    /// Notes that an order for a machine has ended, whether it was sent or not.
     pub(super) fn order_ended(&self, at: Now, machine: &MachineId) {
-        self.ordered_at.borrow_mut().insert(machine.clone(), Some(at));
+        self.order_ended_at.borrow_mut().insert(machine.clone(), Some(at));
     }
 
-    /// Whether the note in the store names machines whose orders don't matter any more.
+    /// Whether the stored note contains orders that have ended at least `relevant_for` ago.
     fn is_outdated(&self, now: Now, relevant_for: Duration) -> bool {
         let is_old = |at: &Option<Now>| at.is_some_and(|at| now.saturating_sub(at) >= relevant_for);
-        self.ordered_at.borrow().values().any(is_old)
+        self.order_ended_at.borrow().values().any(is_old)
     }
 
-    /// What to write now: the machines whose orders may matter for `relevant_for`, with their ages.
-    fn value(&self, now: Now, relevant_for: Duration) -> Vec<u8> {
-        let mut ordered_at = self.ordered_at.borrow_mut();
+    /// Encodes the orders that ended less than `relevant_for` ago, with their ages.
+    fn encode(&self, now: Now, relevant_for: Duration) -> Vec<u8> {
+        let mut order_ended_at = self.order_ended_at.borrow_mut();
         let age = |at: &Option<Now>| at.map_or(Duration::ZERO, |at| now.saturating_sub(at));
         let age_ms = |at: &Option<Now>| age(at).as_millis() as u64;
-        ordered_at.retain(|_, at| age(at) < relevant_for);
-        let noted: Vec<Noted> = ordered_at
+        order_ended_at.retain(|_, at| age(at) < relevant_for);
+        let recorded: Vec<RecordedOrder> = order_ended_at
             .iter()
-            .map(|(machine, at)| Noted { machine: machine.clone(), age_ms: age_ms(at) })
+            .map(|(machine, at)| RecordedOrder { machine: machine.clone(), age_ms: age_ms(at) })
             .collect();
-        serde_json::to_vec(&noted).expect("names and numbers can be written as JSON")
+        serde_json::to_vec(&recorded).expect("names and numbers can be written as JSON")
     }
 }
 
 impl<P: Platform> Owner<P> {
-    /// Reads which machines the former owner ordered, and leaves those alone for a while.
+    /// Reads the previous owner's machine orders, and delays orders for those machines.
     pub(super) async fn recover_machine_orders(&self) {
         while self.is_valid() {
             let Ok(item) = self.platform.get(keys::MACHINE_ORDERS).await else {
-                tokio::time::sleep(REPEAT_PAUSE).await;
+                tokio::time::sleep(RETRY_DELAY).await;
                 continue;
             };
             let now = clock::now();
             let revision = item.as_ref().map_or(0, |item| item.revision);
-            let noted: Vec<Noted> = match item.map(|item| serde_json::from_slice(&item.value)) {
-                None => Vec::new(),
-                Some(Ok(noted)) => noted,
-                Some(Err(error)) => {
-                    // Without it all machines are left alone for a while.
-                    self.log_unreadable(keys::MACHINE_ORDERS, &error.to_string());
-                    return;
-                }
-            };
+            let recorded: Vec<RecordedOrder> =
+                match item.map(|item| serde_json::from_slice(&item.value)) {
+                    None => Vec::new(),
+                    Some(Ok(recorded)) => recorded,
+                    Some(Err(error)) => {
+                        // Without the note, orders for all machines are delayed.
+                        self.log_unreadable(keys::MACHINE_ORDERS, &error.to_string());
+                        return;
+                    }
+                };
             *self.order_note.revision.lock().await = Some(revision);
-            self.events.emit("machine_orders_recovered", json!({ "machines": noted.len() }));
-            let machines = noted.into_iter().map(|noted| {
-                let age = Duration::from_millis(noted.age_ms);
-                self.order_note.order_ended(now.saturating_sub(age), &noted.machine);
-                (noted.machine, age)
+            self.events.emit("machine_orders_recovered", json!({ "machines": recorded.len() }));
+            let machines = recorded.into_iter().map(|recorded| {
+                let age = Duration::from_millis(recorded.age_ms);
+                self.order_note.order_ended(now.saturating_sub(age), &recorded.machine);
+                (recorded.machine, age)
             });
             let machines = machines.collect();
             self.fleet.borrow_mut().recover_orders(now, machines);
@@ -117,11 +118,11 @@
         fleet_settings(&self.settings).order_lease
     }
 
-    /// Writes the note anew once orders in it don't matter any more: ages in it are as old as the note, so
-    /// the next owner would leave those machines alone for up to 3.9 s, in which it has most to move.
+    /// Rewrites the note once it contains outdated orders. Ages are relative to the write of the note, so the
+    /// next owner would otherwise delay orders for those machines for up to 3.9 s, when it has most to move.
     pub(super) async fn prune_order_note(self: Rc<Self>) {
         while self.is_valid() {
-            tokio::time::sleep(TIDY_INTERVAL).await;
+            tokio::time::sleep(PRUNE_INTERVAL).await;
             if self.order_note.is_outdated(clock::now(), self.order_lease()) {
                 let mut revision = self.order_note.revision.lock().await;
                 if let Err(error) = self.write_order_note(&mut revision).await {
@@ -131,17 +132,17 @@
         }
     }
 
-    /// Notes that a machine is about to be ordered. Returns whether the order may leave: the store
-    /// holds the note and has just confirmed the ownership.
+    /// Records an order in the stored note before it is sent. Returns whether the order may be sent: the note is
+    /// stored and the store has just confirmed the ownership.
     pub(super) async fn record_order(&self, machine: &MachineId) -> bool {
         let note = &self.order_note;
-        let place = note.add(machine);
+        let order_number = note.add(machine);
         let mut revision = note.revision.lock().await;
-        // A write that began after the order was added carries it.
-        if note.written.get() >= place {
+        // A write that began after the order was added contains it.
+        if note.written.get() >= order_number {
             return self.is_valid();
         }
-        // Hundreds may have waited, and none of them may leave any more.
+        // Hundreds of orders may have waited for the lock; after the term none of them needs a write.
         if !self.is_valid() {
             return false;
         }
@@ -155,8 +156,8 @@
         }
     }
 
-    /// Writes the note under the condition that this is the owner and the note is as it was left. Returns
-    /// whether the store holds it.
+    /// Writes the note under the condition that this entry is the owner and the stored note is unchanged.
+    /// Returns whether the note is stored.
     async fn write_order_note(&self, revision: &mut Option<Revision>) -> CallResult<bool> {
         let note = &self.order_note;
         let expected = match *revision {
@@ -168,7 +169,7 @@
         let key = keys::MACHINE_ORDERS.to_owned();
         let transaction = Transaction {
             expect: vec![(keys::OWNER.to_owned(), self.term.fence), (key.clone(), expected)],
-            puts: vec![(key, note.value(clock::now(), self.order_lease()), None)],
+            puts: vec![(key, note.encode(clock::now(), self.order_lease()), None)],
             removes: Vec::new(),
         };
         match self.platform.commit(&transaction).await? {
--- a/crates/jackdawpier_entry/src/owner/registry.rs
+++ b/crates/jackdawpier_entry/src/owner/registry.rs
@@ -1,7 +1,7 @@
-//! Keeping up with the executors that are registered in the store.
+//! Follows the executors that are registered in the store.
 //!
-//! A listing of 95 executors takes a quarter of a second on a link of 2 Mbit/s, and all else waits behind
-//! it. So changes are watched, and the whole is read again only where the watch may have missed some.
+//! A listing of 95 executors takes a quarter of a second on a link of 2 Mbit/s, and delays everything else. So
+//! changes are watched, and the registry is listed again only if the watch may have missed some.
 
 use std::time::Duration;
 
@@ -15,34 +15,34 @@
     registry::{Registry, RegistryChange},
 };
 
-/// How long a watch waits for changes; short, since a silent connection looks like a calm one.
+/// Maximum duration of a watch; short, since a broken connection looks like one without changes.
 const WATCH_WAIT: Duration = Duration::from_millis(600);
-/// A watch that hears nothing for this long isn't trusted: each executor renews its entry every second or
-/// two, and its notice of leaving counts two seconds after the store has it.
-const SILENT_AFTER: Duration = Duration::from_millis(1000);
-/// The whole registry is read again after this long, whatever the watch hears.
-const LIST_INTERVAL: Duration = Duration::from_millis(8000);
+/// A watch without changes for this long is considered broken: each executor renews its entry every second or
+/// two, and its notice of leaving takes effect two seconds after it is stored.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Maximum time between two listings, regardless of the watch.
+const MAX_LIST_INTERVAL: Duration = Duration::from_millis(8000);
 
-/// The registry as far as it has been polled_executors.
+/// The registry as last read, and the position of the watch.
 #[derive(Debug, Default)]
 pub(super) struct RegistryWatch {
     registry: Registry,
     revision: Revision,
-    /// When the whole was last read; none if it has to be read now.
+    /// When the last listing was requested; `None` if a listing is due.
     listed_at: Option<Now>,
-    /// When the watch, or a listing, last told of anything.
-    heard_at: Now,
+    /// When the watch last reported a change, or a listing was completed.
+    last_activity_at: Now,
 }
 
 impl RegistryWatch {
-    /// Waits for news for a while and returns them.
+    /// Waits for changes, at most [`WATCH_WAIT`], and returns them.
     pub(super) async fn follow<P: Platform>(
         &mut self,
         owner: &Owner<P>,
     ) -> CallResult<Vec<RegistryChange>> {
-        let is_old = |at| clock::since(at) >= LIST_INTERVAL;
-        let is_silent = clock::since(self.heard_at) >= SILENT_AFTER;
-        if is_silent || self.listed_at.is_none_or(is_old) {
+        let is_old = |at| clock::since(at) >= MAX_LIST_INTERVAL;
+        let is_watch_stale = clock::since(self.last_activity_at) >= WATCH_TIMEOUT;
+        if is_watch_stale || self.listed_at.is_none_or(is_old) {
             return self.list(owner).await;
         }
         let prefix = owner.platform.executor_prefix();
@@ -50,10 +50,10 @@
             Ok(news) => {
                 self.revision = news.revision;
                 if !news.changes.is_empty() {
-                    self.heard_at = clock::now();
+                    self.last_activity_at = clock::now();
                 }
                 let changes = news.changes.into_iter();
-                Ok(changes.filter_map(|change| self.take(owner, change)).collect())
+                Ok(changes.filter_map(|change| self.apply(owner, change)).collect())
             }
             Err(CallError::HistoryCompacted) => {
                 self.listed_at = None;
@@ -76,12 +76,12 @@
         let changes = self.registry.replace(entries.collect());
         self.revision = listing.revision;
         self.listed_at = Some(asked_at);
-        // The next watch begins where the list did, so it tells of all that came meanwhile.
-        self.heard_at = clock::now();
+        // The next watch starts at the listing's revision, so it reports all changes made meanwhile.
+        self.last_activity_at = clock::now();
         Ok(changes)
     }
 
-    fn take<P: Platform>(&mut self, owner: &Owner<P>, change: Change) -> Option<RegistryChange> {
+    fn apply<P: Platform>(&mut self, owner: &Owner<P>, change: Change) -> Option<RegistryChange> {
         match change {
             Change::Put(item) => self.registry.put(&item.key, read_entry(owner, &item)),
             Change::Removed(key) => self.registry.remove(&key),
--- a/crates/jackdawpier_entry/src/owner/takeover.rs
+++ b/crates/jackdawpier_entry/src/owner/takeover.rs
@@ -1,4 +1,4 @@
-//! What a new owner reads before its first decision.
+//! Reads the stored state of jobs before a new owner's first decision.
 
 use std::{collections::HashMap, rc::Rc, time::Duration};
 
@@ -13,21 +13,21 @@
     ports::{Listing, Platform},
 };
 
-/// Pause before a listing that failed is asked for again.
-const REPEAT_PAUSE: Duration = Duration::from_millis(50);
+/// Delay before a failed listing is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How the owner learns of jobs.
+/// How the owner received a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Source {
-    /// As they come.
+    /// From the watch, on arrival.
     Watch,
-    /// Together with all that came since the last listing, or while nobody owned the fleet.
+    /// From a listing, after the watch missed it or no entry owned the fleet.
     Listing,
 }
 
 impl Source {
-    /// When a job arrived. Other entries' times of day aren't relied on where it comes as news.
-    fn arrival(self, now: Now, wall_ms: u64, submission: &Submission) -> Now {
+    /// Returns when a job arrived. A job from the watch has arrived now, whatever another entry's wall clock says.
+    fn arrived_at(self, now: Now, wall_ms: u64, submission: &Submission) -> Now {
         match self {
             Self::Watch => now,
             Self::Listing => {
@@ -39,25 +39,25 @@
 }
 
 impl<P: Platform> Owner<P> {
-    /// Rebuilds the state from the store and returns the revision from which to watch the intake;
-    /// none if the ownership ended meanwhile.
+    /// Rebuilds the fleet's state from the store and returns the revision from which to watch the intake; `None`
+    /// if the ownership ended meanwhile.
     pub(super) async fn take_over(self: &Rc<Self>) -> Option<Revision> {
         let began_at = clock::now();
         let intake = self.list_with_retries(keys::INTAKE).await?;
         let records = self.list_with_retries(keys::RECORDS).await?;
-        let mut written: HashMap<String, (JobRecord, Revision)> = HashMap::new();
+        let mut records_by_job: HashMap<String, (JobRecord, Revision)> = HashMap::new();
         for item in records.items {
             let job = item.key[keys::RECORDS.len()..].to_owned();
             match serde_json::from_slice(&item.value) {
                 Ok(record) => {
-                    written.insert(job, (record, item.revision));
+                    records_by_job.insert(job, (record, item.revision));
                 }
                 Err(error) => self.log_unreadable(&item.key, &error.to_string()),
             }
         }
         let jobs = intake.items.len();
-        self.ingest(Source::Listing, intake.items, &mut written);
-        for (job, (record, _)) in written {
+        self.ingest(Source::Listing, intake.items, &mut records_by_job);
+        for (job, (record, _)) in records_by_job {
             if record.outcome.is_none() {
                 self.log_unreadable(&keys::submission(&job), "missing, though its job isn't over");
                 continue;
@@ -80,49 +80,49 @@
         while self.is_valid() {
             match self.platform.list(prefix).await {
                 Ok(listing) => return Some(listing),
-                Err(_) => tokio::time::sleep(REPEAT_PAUSE).await,
+                Err(_) => tokio::time::sleep(RETRY_DELAY).await,
             }
         }
         None
     }
 
-    /// Takes in accepted jobs first and cancellations after, whatever their order of arrival. Returns the
-    /// number of jobs that weren't known.
+    /// Adds accepted jobs and then cancellations, whatever their order of arrival. Returns the number of jobs
+    /// that weren't known.
     pub(super) fn ingest(
         &self,
         source: Source,
         items: Vec<crate::ports::Item>,
-        written: &mut HashMap<String, (JobRecord, Revision)>,
+        records_by_job: &mut HashMap<String, (JobRecord, Revision)>,
     ) -> usize {
-        let mut found = 0;
+        let mut new_jobs = 0;
         let (now, wall_ms) = (clock::now(), clock::wall_ms());
         let mut fleet = self.fleet.borrow_mut();
-        let (submissions, others): (Vec<_>, Vec<_>) =
+        let (submissions, cancellations): (Vec<_>, Vec<_>) =
             items.into_iter().partition(|item| item.key.starts_with(keys::SUBMISSIONS));
         for item in submissions {
             let id = &item.key[keys::SUBMISSIONS.len()..];
             if fleet.view(id).is_some() {
                 continue;
             }
-            found += 1;
+            new_jobs += 1;
             match serde_json::from_slice::<Submission>(&item.value) {
                 Ok(submission) => {
-                    if let Some(record) = written.remove(id) {
+                    if let Some(record) = records_by_job.remove(id) {
                         fleet.recover_job(now, wall_ms, id.into(), submission, Some(record));
                     } else {
-                        let arrived_at = source.arrival(now, wall_ms, &submission);
+                        let arrived_at = source.arrived_at(now, wall_ms, &submission);
                         fleet.add_job(now, arrived_at, wall_ms, id.into(), submission);
                     }
                 }
                 Err(error) => self.log_unreadable(&item.key, &error.to_string()),
             }
         }
-        for item in others {
+        for item in cancellations {
             if let Some(id) = item.key.strip_prefix(keys::CANCELLATIONS) {
                 fleet.cancel(now, &id.into());
             }
         }
-        found
+        new_jobs
     }
 
     pub(super) fn log_unreadable(&self, key: &str, why: &str) {
--- a/crates/jackdawpier_entry/src/ownership.rs
+++ b/crates/jackdawpier_entry/src/ownership.rs
@@ -1,8 +1,8 @@
-//! Which entry owns the fleet: one key of the store under a lease.
+//! Ownership of the fleet: a key of the store under a lease.
 //!
-//! The key's revision is the fence of the term. The key may vanish before the lease does, so each
-//! renewal also reads it, each durable write expects its revision, and machine orders ask for it
-//! anew.
+//! The key's revision is the fencing token of the term. The key may be removed before the lease ends, so the
+//! owner also reads the key with each renewal, every durable write expects its revision, and a machine order is
+//! sent only after a write that expects it.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -14,17 +14,17 @@
     ports::{CallError, CallResult, LeaseId, Platform, Transaction, TransactionOutcome},
 };
 
-/// Life of the lease. A killed owner is polled_executors after this long, and a store that doesn't answer
-/// for a little less costs the ownership.
-const TTL: Duration = Duration::from_millis(1500);
-/// Renewals an owner may miss: three of four.
+/// TTL of the lease. A killed owner is replaced after this long, and a store outage that is a little shorter
+/// loses the ownership.
+const LEASE_TTL: Duration = Duration::from_millis(1500);
+/// Interval between renewals. An owner keeps the lease if three consecutive renewals fail.
 pub const RENEW_INTERVAL: Duration = Duration::from_millis(300);
-/// Pause between two tries to end the lease of a term that is over.
-const RELEASE_PAUSE: Duration = Duration::from_millis(100);
-/// An outage that lasts for longer than this is rare; after it the lease ends by itself.
-const RELEASE_PATIENCE: Duration = Duration::from_secs(20);
-/// The owner stops this long before its lease ends, for the way of an order and clocks' drift.
-const MARGIN: Duration = Duration::from_millis(300);
+/// Delay before a failed release of a lease is retried.
+const RELEASE_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Maximum duration of release attempts. Longer outages are rare, and after one the lease expires.
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(20);
+/// The owner stops this long before its lease ends, to allow for the transit time of orders and clock drift.
+const LEASE_MARGIN: Duration = Duration::from_millis(300);
 
 #[derive(Debug, Serialize, Deserialize)]
 struct OwnerValue {
@@ -32,7 +32,7 @@
     /// Process of the entry: distinguishes restarts.
     #[serde(rename = "life")]
     incarnation: String,
-    /// Its share of a core.
+    /// The entry's share of a core.
     cpu_share: f64,
 }
 
@@ -53,20 +53,20 @@
 }
 
 impl Term {
-    /// How long a renewal holds, from the moment at which it was asked for.
+    /// Returns how long a renewal is valid, counted from its request.
     fn valid_for(&self) -> Duration {
-        self.ttl.saturating_sub(MARGIN)
+        self.ttl.saturating_sub(LEASE_MARGIN)
     }
 
-    /// Whether orders may leave now. Once it isn't so it never is again: the loops of the term end
-    /// at different moments, and a term that came back would be kept alive by some of them only.
+    /// Whether orders may be sent. A term that has become invalid stays invalid: its loops end at different
+    /// times, and a term that became valid again would have only some of them.
     pub fn is_valid(&self) -> bool {
         let mut state = self.state.borrow_mut();
         state.is_lost |= clock::now() >= state.valid_until;
         !state.is_lost
     }
 
-    /// Ends the term at this entry: another may have begun.
+    /// Ends the term at this entry; another entry may already own the fleet.
     pub fn mark_lost(&self) {
         self.state.borrow_mut().is_lost = true;
     }
@@ -104,57 +104,57 @@
         }
     }
 
-    /// Gives the ownership up, so that another entry needn't wait for the lease to end. Returns whether
-    /// the lease has ended for certain.
+    /// Releases the ownership, so that another entry needn't wait until the lease expires. Returns whether the
+    /// lease has certainly ended.
     pub async fn release<P: Platform>(&self, platform: &P) -> bool {
         self.mark_lost();
         matches!(platform.end_lease(self.lease).await, Ok(()) | Err(CallError::LeaseEnded))
     }
 
-    /// Gives the ownership up as soon as the store answers: leases may pause while it is down, and after
-    /// its return nothing would start for as long as the lease had left.
+    /// Releases the ownership as soon as the store answers. Leases may pause while the store is down, and
+    /// nothing would start after its return until the rest of the lease has passed.
     pub async fn release_with_retries<P: Platform>(&self, platform: &P) {
         let began_at = clock::now();
-        while !self.release(platform).await && clock::since(began_at) < RELEASE_PATIENCE {
-            tokio::time::sleep(RELEASE_PAUSE).await;
+        while !self.release(platform).await && clock::since(began_at) < RELEASE_TIMEOUT {
+            tokio::time::sleep(RELEASE_RETRY_DELAY).await;
         }
     }
 }
 
-/// An entry that would own the fleet.
+/// An entry that can become the owner.
 #[derive(Debug, Clone)]
 pub struct Candidate {
     /// Name of the entry.
     pub entry: String,
     /// Process of the entry: distinguishes restarts.
     pub incarnation: String,
-    /// Its share of a core.
+    /// The entry's share of a core.
     pub cpu_share: f64,
-    /// Life of the lease, see [`lease_ttl`].
+    /// TTL of the lease, see [`lease_ttl`].
     pub ttl: Duration,
 }
 
-/// Life of the lease, where the store grants none below `shortest`.
-pub fn lease_ttl(shortest: Duration) -> Duration {
-    TTL.max(shortest)
+/// Returns the TTL of the lease for a store that grants none below `min_ttl`.
+pub fn lease_ttl(min_ttl: Duration) -> Duration {
+    LEASE_TTL.max(min_ttl)
 }
 
-/// Whether a share of a core is enough to own a large fleet: an owner of 350 executors takes some
-/// 0.15 cores, more than the smallest machines have.
-fn is_enough(cpu_share: f64) -> bool {
-    cpu_share >= ENOUGH_CPU
+/// Whether a share of a core is enough to own a large fleet: an owner of 350 executors uses about 0.15 cores,
+/// more than the smallest machines have.
+fn has_enough_cpu(cpu_share: f64) -> bool {
+    cpu_share >= MIN_OWNER_CPU_SHARE
 }
 
-/// Tries to become the owner and returns the term if this entry is it now. An entry with little
-/// processor leaves a free ownership to larger ones until each has looked, and a larger one takes it
-/// from such an entry. Where all are small each keeps what it holds.
+/// Tries to become the owner, and returns the term if this entry succeeds. A small entry waits until all larger
+/// ones have tried to acquire a free ownership, and a larger entry takes the ownership from a small one. Among
+/// small entries the owner keeps it.
 pub async fn acquire<P: Platform>(platform: &P, candidate: &Candidate) -> CallResult<Option<Term>> {
-    let mut held = platform.get(keys::OWNER).await?;
-    if held.is_none() && !is_enough(candidate.cpu_share) {
-        tokio::time::sleep(TRY_INTERVAL * 3 / 2).await;
-        held = platform.get(keys::OWNER).await?;
+    let mut current = platform.get(keys::OWNER).await?;
+    if current.is_none() && !has_enough_cpu(candidate.cpu_share) {
+        tokio::time::sleep(ACQUIRE_INTERVAL * 3 / 2).await;
+        current = platform.get(keys::OWNER).await?;
     }
-    let expected = match &held {
+    let expected = match &current {
         None => 0,
         Some(item) if may_replace(&item.value, candidate) => item.revision,
         Some(_) => return Ok(None),
@@ -175,43 +175,42 @@
             let _ = platform.end_lease(lease).await;
             return Ok(None);
         }
-        // The answer is lost: the key says whether the write was carried out.
+        // The answer is lost: the key shows whether the write took effect.
         Err(_) => match platform.get(keys::OWNER).await? {
             Some(item) if item.value == value => item.revision,
             _ => {
-                // The lease's end keeps the write from being carried out later.
+                // Ending the lease keeps the write from taking effect later.
                 let _ = platform.end_lease(lease).await;
                 return Ok(None);
             }
         },
     };
-    let valid_until = asked_at + candidate.ttl.saturating_sub(MARGIN);
+    let valid_until = asked_at + candidate.ttl.saturating_sub(LEASE_MARGIN);
     let state = State { valid_until, is_lost: false };
     Ok(Some(Term { fence, lease, ttl: candidate.ttl, state: Rc::new(RefCell::new(state)) }))
 }
 
-/// Whether the holder of the key is an earlier life of this very entry, which is certainly gone, or
-/// has too little processor where this entry has enough. Its term then ends as if the key had been
-/// taken away.
+/// Whether the owner is a previous process of this entry, which has certainly ended, or has too little
+/// processor while this entry has enough. Its term then ends as if the key had been removed.
 fn may_replace(value: &[u8], candidate: &Candidate) -> bool {
-    serde_json::from_slice::<OwnerValue>(value).is_ok_and(|holder| {
+    serde_json::from_slice::<OwnerValue>(value).is_ok_and(|owner| {
         let is_previous_incarnation =
-            holder.entry == candidate.entry && holder.incarnation != candidate.incarnation;
-        let is_larger = is_enough(candidate.cpu_share) && !is_enough(holder.cpu_share);
+            owner.entry == candidate.entry && owner.incarnation != candidate.incarnation;
+        let is_larger = has_enough_cpu(candidate.cpu_share) && !has_enough_cpu(owner.cpu_share);
         is_previous_incarnation || is_larger
     })
 }
 
-/// Share of a core from which an entry takes a free ownership at once.
-const ENOUGH_CPU: f64 = 0.2;
-/// Pause between two tries to become the owner. A stale reading, though cheaper, may show an owner
-/// that has been gone for seconds.
-const TRY_INTERVAL: Duration = Duration::from_millis(500);
-/// The same for an entry that leaves a free ownership to larger ones first. Of hundreds of entries most are
-/// small, and their looks were a seventh of all calls of the store.
-const SMALL_TRY_INTERVAL: Duration = Duration::from_millis(1500);
+/// Minimum share of a core with which an entry acquires a free ownership at once.
+const MIN_OWNER_CPU_SHARE: f64 = 0.2;
+/// Interval between attempts to become the owner. Each attempt reads the newest state: a stale read is cheaper,
+/// but may show an owner that has been gone for seconds.
+const ACQUIRE_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval for small entries, which leave a free ownership to larger ones first. Of hundreds of entries most
+/// are small, and their attempts at the usual interval were a seventh of all calls of the store.
+const SMALL_ENTRY_ACQUIRE_INTERVAL: Duration = Duration::from_millis(1500);
 
-/// Pause between two tries of an entry with this share of a core.
+/// Returns the interval between attempts of an entry with this share of a core.
 pub fn acquire_interval(cpu_share: f64) -> Duration {
-    if is_enough(cpu_share) { TRY_INTERVAL } else { SMALL_TRY_INTERVAL }
+    if has_enough_cpu(cpu_share) { ACQUIRE_INTERVAL } else { SMALL_ENTRY_ACQUIRE_INTERVAL }
 }
