--- a/crates/jackdawpier_entry/src/acceptance.rs
+++ b/crates/jackdawpier_entry/src/acceptance.rs
@@ -1,9 +1,9 @@
-//! Taking jobs in: a job is accepted once the store holds it, and only then.
+//! Accepts jobs: a job counts as accepted once the store holds it.
 //!
-//! Jobs that arrive together are written together. A write whose answer is lost may be carried out
-//! later, so its job is never refused as "not run": it is written again under the same condition
-//! until the store says what it holds, or its caller's time is over and the outcome stays unknown.
-//! While the store hangs nobody is held for it: what no write has carried is refused.
+//! Jobs that arrive together are written in one transaction. A write without an answer may still be
+//! applied later, so its jobs are never refused: the write is repeated under the same condition until
+//! the store reports what it holds, or until the caller's deadline, when the outcome stays unknown.
+//! While the store hangs, jobs that were not part of any write are refused without waiting for it.
 
 use std::{
     cell::RefCell,
@@ -28,313 +28,322 @@
     ports::{CallError, CallResult, Item, Platform, Transaction, TransactionOutcome},
 };
 
-/// Jobs in one transaction: two conditions and a value each, of the 32 rows that it may have.
-const JOBS_PER_WRITE: usize = 10;
-/// Bytes of jobs in one transaction, but for a job that is larger by itself: a small job doesn't wait for large ones to
-/// leave over a slow link.
-const BYTES_PER_WRITE: usize = 64 * 1024;
-/// Writes under way at once to a store of which nothing is known; with four milliseconds each some
-/// 15,000 jobs a second.
-const WRITES_AT_ONCE: usize = 4;
-/// Writes under way at once to a store that answers, however slowly: with four, a store that took 0.4 s
-/// an answer had a quarter of the jobs of a burst refused that it could have taken.
-const MOST_WRITES: usize = 16;
-/// From the first write of a job that gets no answer until its caller is told that the outcome is
-/// unknown, so that it can ask another entry: one call of the store that times out, and one more.
-const DOUBT_PATIENCE: Duration = Duration::from_millis(900);
-/// A job that no write has carried is refused after this long, as it surely isn't stored: sixty times
-/// the time of a write, so that only a store that hangs is met.
-const QUEUE_PATIENCE: Duration = Duration::from_millis(250);
-/// A store that has left a write unanswered for this long, and answered no other meanwhile, is taken to
-/// hang, and what comes is refused at once: a little over the time of a write on slow days.
-const SILENT_AFTER: Duration = Duration::from_millis(400);
-/// Pause before a write is repeated, so that a failing store isn't pressed.
-const REPEAT_PAUSE: Duration = Duration::from_millis(40);
+/// Maximum number of jobs in one transaction: each takes two conditions and a value of at most 32 rows.
+const MAX_JOBS_PER_WRITE: usize = 10;
+/// Maximum bytes of jobs in one transaction, except for a single larger job, so that a small job doesn't
+/// wait until large ones are sent over a slow link.
+const MAX_BYTES_PER_WRITE: usize = 64 * 1024;
+/// Maximum number of concurrent batches without a recent answer from the store. At 4 ms a write they
+/// carry about 15,000 jobs a second.
+const MAX_CONCURRENT_BATCHES: usize = 4;
+/// Maximum number of concurrent batches while the store answers. With four, a store that takes 0.4 s an
+/// answer would refuse a quarter of the jobs of a burst that it could accept.
+const MAX_CONCURRENT_BATCHES_ANSWERING: usize = 16;
+/// Maximum time for writing a batch, after which callers are told that the outcome is unknown and can ask
+/// another entry: one call to the store that times out, and one more.
+const BATCH_TIMEOUT: Duration = Duration::from_millis(900);
+/// A job that was not part of any write after this time is refused, since it can't be stored. Sixty times
+/// the duration of a write, so that it is reached only if the store hangs.
+const QUEUE_TIMEOUT: Duration = Duration::from_millis(250);
+/// The store is considered hanging, and new jobs are refused immediately, if a write is unanswered for this
+/// time and no other write was answered meanwhile. Slightly more than the duration of a slow write.
+const HANG_TIMEOUT: Duration = Duration::from_millis(400);
+/// Delay before a write is repeated, so that a failing store isn't overloaded.
+const RETRY_DELAY: Duration = Duration::from_millis(40);
 
-/// What became of a job that was handed in.
+/// The outcome of a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Acceptance {
-    /// The store holds it.
+    /// The store holds the job.
     Accepted,
-    /// The store holds a job of another client account under its id.
+    /// The store holds a job of another client account under the same id.
     Foreign,
-    /// The store doesn't and never will hold it by this request.
+    /// The job isn't stored and never will be by this request.
     Refused,
-    /// It may be held, or may yet come to be.
+    /// The job may be stored, or may be stored later.
     Unknown,
 }
 
 #[derive(Debug)]
-struct Entry {
+struct QueuedJob {
     id: JobId,
     account: Option<AccountName>,
     value: Vec<u8>,
-    /// When it is given up.
+    /// When its caller stops waiting.
     deadline: Now,
-    /// A write of it went unanswered.
+    /// Whether a write that contains it got no answer.
     may_be_stored: bool,
-    answer: oneshot::Sender<Acceptance>,
+    outcome: oneshot::Sender<Acceptance>,
 }
 
 #[derive(Debug, Default)]
 struct Queue {
-    waiting: VecDeque<Entry>,
-    /// Batches whose jobs don't all have their fate yet.
-    unsettled: usize,
+    waiting: VecDeque<QueuedJob>,
+    /// Number of batches with jobs whose outcome isn't known yet.
+    open_batches: usize,
     next_write: u64,
-    /// When each write that is under way left, oldest first.
-    under_way: BTreeMap<u64, Now>,
+    /// When each write in flight was sent, by its number.
+    in_flight: BTreeMap<u64, Now>,
     /// When a write was last answered.
     answered_at: Option<Now>,
-    /// When the last write left that got no answer, if none got one since.
+    /// When the last unanswered write was sent, if no write was answered since.
     unanswered_since: Option<Now>,
 }
 
 impl Queue {
     fn store_hangs(&self, now: Now) -> bool {
-        let oldest = self.under_way.first_key_value();
+        let oldest = self.in_flight.first_key_value();
         let is_old =
-            oldest.is_some_and(|(_, left_at)| now.saturating_sub(*left_at) >= SILENT_AFTER);
+            oldest.is_some_and(|(_, sent_at)| now.saturating_sub(*sent_at) >= HANG_TIMEOUT);
         is_old && !self.store_answers(now)
     }
 
     fn store_answers(&self, now: Now) -> bool {
-        self.answered_at.is_some_and(|at| now.saturating_sub(at) < SILENT_AFTER)
+        self.answered_at.is_some_and(|at| now.saturating_sub(at) < HANG_TIMEOUT)
     }
 
-    /// Whether another write may leave.
+    /// Returns whether another batch may be written.
     fn may_write(&self, now: Now) -> bool {
-        let most = if self.store_answers(now) { MOST_WRITES } else { WRITES_AT_ONCE };
-        self.unsettled < most
+        let max_batches = if self.store_answers(now) {
+            MAX_CONCURRENT_BATCHES_ANSWERING
+        } else {
+            MAX_CONCURRENT_BATCHES
+        };
+        self.open_batches < max_batches
     }
 }
 
-/// How a write ended, as far as it tells of the store.
+/// How a write ended, as evidence of whether the store answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum WriteEnd {
+enum WriteResult {
     /// The store answered.
     Answered,
-    /// It didn't.
+    /// The store didn't answer.
     Unanswered,
-    /// The time of the callers was over first.
+    /// The deadlines of all callers passed before an answer.
     Abandoned,
 }
 
-/// The jobs that wait to be written.
+/// The queue of submitted jobs that wait to be written.
 #[derive(Debug, Clone, Default)]
 pub struct Intake {
     queue: Rc<RefCell<Queue>>,
-    /// A job has arrived or a batch is settled.
+    /// Notified when a job is submitted or a batch is finished.
     changed: Rc<Notify>,
 }
 
 impl Intake {
-    /// Hands a job in and waits for its fate.
+    /// Submits a job and waits for the outcome.
     pub async fn submit(&self, id: JobId, submission: &Submission, deadline: Now) -> Acceptance {
         if self.queue.borrow().store_hangs(clock::now()) {
             return Acceptance::Refused;
         }
         let Ok(value) = serde_json::to_vec(submission) else { return Acceptance::Refused };
-        let (answer, mut fate) = oneshot::channel();
+        let (sender, mut outcome) = oneshot::channel();
         let account = submission.account.clone();
-        let entry =
-            Entry { id: id.clone(), account, value, deadline, may_be_stored: false, answer };
-        self.queue.borrow_mut().waiting.push_back(entry);
+        let job = QueuedJob {
+            id: id.clone(),
+            account,
+            value,
+            deadline,
+            may_be_stored: false,
+            outcome: sender,
+        };
+        self.queue.borrow_mut().waiting.push_back(job);
         self.changed.notify_one();
-        match timeout(QUEUE_PATIENCE, &mut fate).await {
-            Ok(fate) => fate.unwrap_or(Acceptance::Unknown),
+        match timeout(QUEUE_TIMEOUT, &mut outcome).await {
+            Ok(outcome) => outcome.unwrap_or(Acceptance::Unknown),
             Err(_) if self.withdraw(&id) => Acceptance::Refused,
-            Err(_) => fate.await.unwrap_or(Acceptance::Unknown),
+            Err(_) => outcome.await.unwrap_or(Acceptance::Unknown),
         }
     }
 
-    /// Takes a job back that no write has carried; returns whether there was one.
+    /// Removes a job that was not part of any write; returns whether there was one.
     fn withdraw(&self, id: &JobId) -> bool {
         let waiting = &mut self.queue.borrow_mut().waiting;
         let count = waiting.len();
-        waiting.retain(|entry| entry.id != *id);
+        waiting.retain(|job| job.id != *id);
         waiting.len() < count
     }
 
-    fn write_left(&self) -> u64 {
+    fn on_write_sent(&self) -> u64 {
         let mut queue = self.queue.borrow_mut();
         queue.next_write += 1;
         let number = queue.next_write;
-        queue.under_way.insert(number, clock::now());
+        queue.in_flight.insert(number, clock::now());
         number
     }
 
-    fn write_ended(&self, number: u64, end: WriteEnd) {
+    fn on_write_result(&self, number: u64, result: WriteResult) {
         let mut queue = self.queue.borrow_mut();
-        let left_at = queue.under_way.remove(&number);
-        match end {
-            WriteEnd::Answered => {
+        let sent_at = queue.in_flight.remove(&number);
+        match result {
+            WriteResult::Answered => {
                 queue.unanswered_since = None;
                 queue.answered_at = Some(clock::now());
             }
-            WriteEnd::Unanswered => queue.unanswered_since = left_at,
-            // It says nothing of the store how little time callers had.
-            WriteEnd::Abandoned => {
-                let is_old = |at: &Now| clock::since(*at) >= SILENT_AFTER;
-                queue.unanswered_since = left_at.filter(is_old).or(queue.unanswered_since);
+            WriteResult::Unanswered => queue.unanswered_since = sent_at,
+            // A write abandoned because of short deadlines is no evidence that the store hangs.
+            WriteResult::Abandoned => {
+                let is_old = |at: &Now| clock::since(*at) >= HANG_TIMEOUT;
+                queue.unanswered_since = sent_at.filter(is_old).or(queue.unanswered_since);
             }
         }
     }
 
-    fn settled(&self) {
-        self.queue.borrow_mut().unsettled -= 1;
+    fn finish_batch(&self) {
+        self.queue.borrow_mut().open_batches -= 1;
         self.changed.notify_one();
     }
 
-    /// When the last write left that got no answer, if none got one since. Until the store is seen
-    /// to answer, handing in another job would only hold its caller.
+    /// Returns when the last unanswered write was sent, if no write was answered since. Until the store
+    /// answers, submitting another job would only delay its caller.
     pub fn unanswered_since(&self) -> Option<Now> {
         self.queue.borrow().unanswered_since
     }
 
-    /// Whether a job waits for a write that may leave.
-    fn has_next(&self) -> bool {
+    /// Returns whether jobs wait and another batch may be written.
+    fn has_next_batch(&self) -> bool {
         let queue = self.queue.borrow();
         !queue.waiting.is_empty() && queue.may_write(clock::now())
     }
 
-    /// Takes the jobs of the next write; [`Self::settled`] has to follow.
-    fn take(&self) -> Vec<Entry> {
+    /// Removes the jobs of the next batch from the queue; [`Self::finish_batch`] has to follow.
+    fn take_batch(&self) -> Vec<QueuedJob> {
         let mut queue = self.queue.borrow_mut();
-        queue.unsettled += 1;
+        queue.open_batches += 1;
         let mut bytes = 0;
-        let fits = |entry: &&Entry| {
-            bytes += entry.value.len();
-            bytes <= BYTES_PER_WRITE
+        let fits = |job: &&QueuedJob| {
+            bytes += job.value.len();
+            bytes <= MAX_BYTES_PER_WRITE
         };
-        let count = queue.waiting.iter().take(JOBS_PER_WRITE).take_while(fits).count();
+        let count = queue.waiting.iter().take(MAX_JOBS_PER_WRITE).take_while(fits).count();
         let count = count.max(1).min(queue.waiting.len());
         queue.waiting.drain(..count).collect()
     }
 }
 
-/// Writes what was handed in, for ever.
+/// Writes submitted jobs until it is cancelled.
 pub async fn write_jobs<P: Platform>(platform: P, intake: Intake) {
     loop {
-        if !intake.has_next() {
+        if !intake.has_next_batch() {
             intake.changed.notified().await;
             continue;
         }
-        // What was withdrawn while no write could leave is no longer here.
-        let batch = intake.take();
+        // Jobs withdrawn while no batch could be written are no longer in the queue.
+        let batch = intake.take_batch();
         let (platform, intake) = (platform.clone(), intake.clone());
         tokio::task::spawn_local(async move {
-            settle(&platform, &intake, batch).await;
-            intake.settled();
+            write_batch(&platform, &intake, batch).await;
+            intake.finish_batch();
         });
     }
 }
 
-/// Writes a batch until each of its jobs has its fate.
-async fn settle<P: Platform>(platform: &P, intake: &Intake, mut batch: Vec<Entry>) {
-    let bytes = batch.iter().map(|entry| entry.value.len()).sum();
-    let give_up_at = clock::now() + DOUBT_PATIENCE + platform.sending_time(bytes);
-    for entry in &mut batch {
-        entry.deadline = entry.deadline.min(give_up_at);
+/// Writes a batch until the outcome of each of its jobs is known or its deadline has passed.
+async fn write_batch<P: Platform>(platform: &P, intake: &Intake, mut batch: Vec<QueuedJob>) {
+    let bytes = batch.iter().map(|job| job.value.len()).sum();
+    let give_up_at = clock::now() + BATCH_TIMEOUT + platform.sending_time(bytes);
+    for job in &mut batch {
+        job.deadline = job.deadline.min(give_up_at);
     }
     while !batch.is_empty() {
-        let number = intake.write_left();
-        let (write_end, end) = commit(platform, &batch).await;
-        intake.write_ended(number, write_end);
-        match end {
+        let number = intake.on_write_sent();
+        let (write_result, outcome) = commit(platform, &batch).await;
+        intake.on_write_result(number, write_result);
+        match outcome {
             Ok(TransactionOutcome::Committed(_)) => {
                 answer_all(batch, Acceptance::Accepted);
                 return;
             }
             Ok(TransactionOutcome::Conflict(items)) => {
-                let is_held = |entry: &Entry| held_item(entry, &items).is_some();
-                let (held, rest): (Vec<_>, Vec<_>) = batch.into_iter().partition(is_held);
-                let is_own = |entry: &Entry| belongs_to(entry, &items);
-                let (own, foreign): (Vec<_>, Vec<_>) = held.into_iter().partition(is_own);
+                let is_stored = |job: &QueuedJob| stored_item(job, &items).is_some();
+                let (stored, rest): (Vec<_>, Vec<_>) = batch.into_iter().partition(is_stored);
+                let is_own = |job: &QueuedJob| is_same_account(job, &items);
+                let (own, foreign): (Vec<_>, Vec<_>) = stored.into_iter().partition(is_own);
                 answer_all(own, Acceptance::Accepted);
                 answer_all(foreign, Acceptance::Foreign);
                 batch = rest;
             }
             Err(CallError::NotDone { .. }) => {
-                // What no earlier write can have stored is refused at once.
-                let (doubtful, rest): (Vec<_>, Vec<_>) =
-                    batch.into_iter().partition(|entry| entry.may_be_stored);
+                // Jobs that no earlier write can have stored are refused immediately.
+                let (uncertain, rest): (Vec<_>, Vec<_>) =
+                    batch.into_iter().partition(|job| job.may_be_stored);
                 answer_all(rest, Acceptance::Refused);
-                batch = doubtful;
-                tokio::time::sleep(REPEAT_PAUSE).await;
+                batch = uncertain;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
             Err(_) => {
-                batch.iter_mut().for_each(|entry| entry.may_be_stored = true);
-                tokio::time::sleep(REPEAT_PAUSE).await;
+                batch.iter_mut().for_each(|job| job.may_be_stored = true);
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
         let now = clock::now();
-        let (late, rest): (Vec<_>, Vec<_>) =
-            batch.into_iter().partition(|entry| now >= entry.deadline);
-        let (doubtful, untried): (Vec<_>, Vec<_>) =
-            late.into_iter().partition(|entry| entry.may_be_stored);
-        answer_all(doubtful, Acceptance::Unknown);
-        answer_all(untried, Acceptance::Refused);
+        let (expired, rest): (Vec<_>, Vec<_>) =
+            batch.into_iter().partition(|job| now >= job.deadline);
+        let (uncertain, not_stored): (Vec<_>, Vec<_>) =
+            expired.into_iter().partition(|job| job.may_be_stored);
+        answer_all(uncertain, Acceptance::Unknown);
+        answer_all(not_stored, Acceptance::Refused);
         batch = rest;
     }
 }
 
-/// What the store holds under a job's id, among the items of a conflict.
-fn held_item<'a>(entry: &Entry, items: &'a [Item]) -> Option<&'a Item> {
-    let keys = [keys::submission(&entry.id), keys::record(&entry.id)];
+/// Returns the item stored under a job's id, among the items of a conflict.
+fn stored_item<'a>(job: &QueuedJob, items: &'a [Item]) -> Option<&'a Item> {
+    let keys = [keys::submission(&job.id), keys::record(&job.id)];
     items.iter().find(|item| keys.contains(&item.key) && item.revision > 0)
 }
 
-/// Whether the job that the store holds under an id is the same account's; so is one that was handed in
-/// without a key.
-fn belongs_to(entry: &Entry, items: &[Item]) -> bool {
+/// Returns whether the stored job with this id belongs to the same account, or was submitted without a key.
+fn is_same_account(job: &QueuedJob, items: &[Item]) -> bool {
     #[derive(Deserialize)]
     struct Owned {
         #[serde(default)]
         account: Option<AccountName>,
     }
-    let held = held_item(entry, items).map(|item| serde_json::from_slice::<Owned>(&item.value));
-    match held {
-        Some(Ok(held)) => held.account.is_none() || held.account == entry.account,
+    let stored = stored_item(job, items).map(|item| serde_json::from_slice::<Owned>(&item.value));
+    match stored {
+        Some(Ok(stored)) => stored.account.is_none() || stored.account == job.account,
         Some(Err(_)) | None => false,
     }
 }
 
-/// Writes a batch once, for no longer than the most patient of its callers waits.
+/// Writes a batch once, until the latest deadline of its callers.
 async fn commit<P: Platform>(
     platform: &P,
-    batch: &[Entry],
-) -> (WriteEnd, CallResult<TransactionOutcome>) {
-    let patience = batch.iter().map(|entry| entry.deadline).max().unwrap_or_default();
-    let patience = patience.saturating_sub(clock::now());
-    match timeout(patience, platform.commit(&transaction(batch))).await {
-        Ok(end @ (Ok(_) | Err(CallError::NotDone { .. }))) => (WriteEnd::Answered, end),
-        Ok(end) => (WriteEnd::Unanswered, end),
+    batch: &[QueuedJob],
+) -> (WriteResult, CallResult<TransactionOutcome>) {
+    let deadline = batch.iter().map(|job| job.deadline).max().unwrap_or_default();
+    let time_left = deadline.saturating_sub(clock::now());
+    match timeout(time_left, platform.commit(&transaction(batch))).await {
+        Ok(outcome @ (Ok(_) | Err(CallError::NotDone { .. }))) => (WriteResult::Answered, outcome),
+        Ok(outcome) => (WriteResult::Unanswered, outcome),
         Err(_) => {
-            let reason = "its callers' time was over".to_owned();
-            (WriteEnd::Abandoned, Err(CallError::Unanswered { reason }))
+            let reason = "the deadlines of its callers have passed".to_owned();
+            (WriteResult::Abandoned, Err(CallError::Unanswered { reason }))
         }
     }
 }
 
-fn transaction(batch: &[Entry]) -> Transaction {
+fn transaction(batch: &[QueuedJob]) -> Transaction {
     Transaction {
-        // A job that is over has left nothing but its record.
+        // Of a job that has ended only its record remains.
         expect: batch
             .iter()
-            .flat_map(|entry| [(keys::submission(&entry.id), 0), (keys::record(&entry.id), 0)])
+            .flat_map(|job| [(keys::submission(&job.id), 0), (keys::record(&job.id), 0)])
             .collect(),
         puts: batch
             .iter()
-            .map(|entry| (keys::submission(&entry.id), entry.value.clone(), None))
+            .map(|job| (keys::submission(&job.id), job.value.clone(), None))
             .collect(),
         removes: Vec::new(),
     }
 }
 
-fn answer_all(entries: Vec<Entry>, fate: Acceptance) {
-    for entry in entries {
-        // A caller that has gone away needs no answer.
-        let _ = entry.answer.send(fate);
+fn answer_all(jobs: Vec<QueuedJob>, outcome: Acceptance) {
+    for job in jobs {
+        // The caller may have disconnected.
+        let _ = job.outcome.send(outcome);
     }
 }
--- a/crates/jackdawpier_entry/src/access.rs
+++ b/crates/jackdawpier_entry/src/access.rs
@@ -1,8 +1,8 @@
-//! Who may call: whether a request's key stands, and how sure that is.
+//! Access control: checks the API key of a request against the configuration.
 //!
-//! A key that was taken away must not serve anybody a fixed time later, also at an entry that hears of
-//! nothing. So a key counts only together with a proof: the time of a question to the store whose answer
-//! shows that the configuration which names the key was still the newest then. See
+//! A revoked key must be rejected everywhere within a fixed time, also by an entry that is cut off from
+//! the store. So a key is accepted only together with a recent proof of freshness: the time of a request
+//! to the store whose answer showed that the configuration with the key was still the newest. See
 //! `docs/design/accounts.md`.
 
 use std::{
@@ -17,16 +17,15 @@
 
 use crate::ports::{Configuration, Route};
 
-/// Part of the time for which a proof holds that is left unused, since clocks differ in rate.
-const RATE_MARGIN_PERCENT: u32 = 2;
+/// Share of a proof's validity that is left unused, since clocks run at different rates.
+const CLOCK_RATE_MARGIN_PERCENT: u32 = 2;
 
-/// A secret that a caller shows. It is never printed, and comparing it takes the same time wherever two
-/// keys differ.
+/// The secret API key of a caller. It is never printed, and comparisons take constant time.
 #[derive(Clone)]
 pub struct ApiKey(Box<[u8]>);
 
 impl ApiKey {
-    /// Takes a key over.
+    /// Wraps the bytes of a key.
     pub fn new(key: &[u8]) -> Self {
         Self(key.into())
     }
@@ -52,8 +51,8 @@
     }
 }
 
-/// The keys that stand, with the client account of each. The map's hash is keyed by a secret of the
-/// process, so how long a look takes says nothing of the keys in it.
+/// The valid keys, with the client account of each. The map's hash is keyed by a secret of the process, so
+/// the duration of a lookup reveals nothing about the keys in it.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ClientKeys(HashMap<ApiKey, AccountName>);
 
@@ -69,25 +68,25 @@
     }
 }
 
-/// How sure an entry is that its configuration is the newest.
+/// The latest evidence that the configuration of an entry is the newest.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Proof {
-    /// When the latest question left whose answer shows it; none before the first.
+    /// When the latest request was sent whose answer showed it; none before the first.
     pub asked_at: Option<Now>,
-    /// For how long after it a key may be relied on; none for as long as the entry hears of no change.
+    /// For how long after that a key may be accepted; none means until a change is received.
     pub valid_for: Option<Duration>,
 }
 
 impl Proof {
-    /// Whether a key that stands in the configuration may be relied on.
-    pub fn holds(&self, now: Now) -> bool {
+    /// Returns whether a key of the configuration may be accepted.
+    pub fn is_valid(&self, now: Now) -> bool {
         let Some(valid_for) = self.valid_for else { return true };
-        let usable = valid_for * (100 - RATE_MARGIN_PERCENT) / 100;
-        self.asked_at.is_some_and(|asked_at| now < asked_at + usable)
+        let usable_for = valid_for * (100 - CLOCK_RATE_MARGIN_PERCENT) / 100;
+        self.asked_at.is_some_and(|asked_at| now < asked_at + usable_for)
     }
 
-    /// Whether the configuration is known to be no older than something that happened at `at`.
-    fn is_since(&self, at: Now) -> bool {
+    /// Returns whether the configuration was the newest at `at` or later.
+    fn covers(&self, at: Now) -> bool {
         self.asked_at.is_some_and(|asked_at| asked_at >= at)
     }
 }
@@ -95,18 +94,18 @@
 /// Whether a request may be served.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Access {
-    /// It may, in the name of this client account; none where no key is asked for.
+    /// The request may be served for this client account; none where no key is required.
     Granted(Option<AccountName>),
-    /// It shows no key though one is asked for.
+    /// The request has no key though one is required.
     MissingKey,
-    /// Its key didn't stand when it arrived.
+    /// The key wasn't valid when the request arrived.
     UnknownKey,
-    /// Whether its key stands can't be said before the store has been asked again.
+    /// Whether the key is valid isn't known before the store has been asked again.
     Unverified,
 }
 
-/// Judges a request that arrived at `arrived_at`. `now` has to be read after the request was, so that it
-/// was sent before.
+/// Checks the access of a request that arrived at `arrived_at`. `now` has to be read after the request was
+/// received, so that the request was sent before it.
 pub fn check_access(
     configuration: &Configuration,
     route: &Route,
@@ -120,9 +119,9 @@
     };
     let Some(key) = key else { return Access::MissingKey };
     match keys.account(key) {
-        Some(account) if proof.holds(now) => Access::Granted(Some(account.clone())),
-        // A newer configuration than this one may name it.
-        None if proof.is_since(arrived_at) => Access::UnknownKey,
+        Some(account) if proof.is_valid(now) => Access::Granted(Some(account.clone())),
+        // Without a proof since the arrival a newer configuration may contain the key.
+        None if proof.covers(arrived_at) => Access::UnknownKey,
         Some(_) | None => Access::Unverified,
     }
 }
--- a/crates/jackdawpier_entry/src/clock.rs
+++ b/crates/jackdawpier_entry/src/clock.rs
@@ -1,26 +1,26 @@
-//! The clocks that decisions go by.
+//! The clocks used for decisions.
 
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use jackdawpier_kernel::Now;
 use nix::time::{ClockId, clock_gettime};
 
-/// Time since the machine started, which counts while it is suspended.
+/// Returns the time since the machine started, including time while it was suspended.
 ///
-/// The monotonic clock stops while a machine is suspended, so a lease judged by it would seem to
-/// last although everybody else has seen it end.
+/// The monotonic clock stops while a machine is suspended, so by that clock a lease would seem valid
+/// although it has expired for all others.
 pub fn now() -> Now {
     let time = clock_gettime(ClockId::CLOCK_BOOTTIME)
-        .expect("the kernel has had this clock since 2.6.39 and reading it can't fail");
+        .expect("the kernel supports CLOCK_BOOTTIME since 2.6.39");
     Duration::from(time)
 }
 
-/// Time since an earlier reading of [`now`].
+/// Returns the time since an earlier reading of [`now`].
 pub fn since(earlier: Now) -> Duration {
     now().saturating_sub(earlier)
 }
 
-/// Time of day in milliseconds since 1970. It may jump.
+/// Returns the time of day in milliseconds since the Unix epoch. It may jump.
 pub fn wall_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
--- a/crates/jackdawpier_entry/src/configuration.rs
+++ b/crates/jackdawpier_entry/src/configuration.rs
@@ -116,7 +116,7 @@
 
     /// Whether callers with a key that stands can be served.
     pub fn can_verify_keys(&self, now: Now) -> bool {
-        !self.requires_keys() || self.proof().holds(now)
+        !self.requires_keys() || self.proof().is_valid(now)
     }
 
     /// A question that left at `asked_at` has shown that the configuration in force was the newest.
--- a/crates/jackdawpier_entry/src/events.rs
+++ b/crates/jackdawpier_entry/src/events.rs
@@ -1,8 +1,8 @@
 //! Structured log lines on standard output: one JSON object for each decision.
 //!
-//! Writing never holds a decision up: lines go through a bounded queue to a thread of their own. The
-//! log of a burst leaves out what there is most of, counts it, and says so within a second; the rare
-//! decisions, such as those that end a caller's work, stand in it.
+//! Writing never blocks a decision: lines go through a bounded queue to a thread of their own. In a burst
+//! frequent kinds of lines are suppressed, and their number is logged within a second; rare decisions,
+//! such as those that end a caller's work, are always logged.
 
 use std::{cell::RefCell, rc::Rc};
 
@@ -25,7 +25,7 @@
     metrics: Metrics,
 }
 
-/// Writes log lines.
+/// Writes structured log lines and counts them.
 #[derive(Debug, Clone)]
 pub struct Events(Rc<RefCell<Inner>>);
 
@@ -42,18 +42,18 @@
         Self(Rc::new(RefCell::new(inner)))
     }
 
-    /// The metrics that count the lines.
+    /// Returns the metrics that count the lines.
     pub fn metrics(&self) -> Metrics {
         self.0.borrow().metrics.clone()
     }
 
-    /// Writes one line of a kind; `fields` has to be an object.
+    /// Writes a line of a kind; `fields` has to be an object.
     pub fn emit(&self, kind: &'static str, fields: Value) {
         let mut inner = self.0.borrow_mut();
         inner.metrics.count(kind, &outcome(&fields));
         let now = clock::now();
-        for left_out in inner.volume.begin_second(now) {
-            let fields = json!({ "of": left_out.kind, "lines": left_out.lines });
+        for suppressed in inner.volume.begin_second(now) {
+            let fields = json!({ "of": suppressed.kind, "lines": suppressed.lines });
             inner.write("left_out", fields, now);
         }
         if inner.volume.admit(kind) {
@@ -80,7 +80,7 @@
     }
 }
 
-/// Fields that tell how something went, for the metrics.
+/// Fields that contain an outcome, for the metrics.
 const OUTCOME_FIELDS: [&str; 4] = ["end", "how", "fate", "status"];
 
 fn outcome(fields: &Value) -> String {
--- a/crates/jackdawpier_entry/src/freshness.rs
+++ b/crates/jackdawpier_entry/src/freshness.rs
@@ -57,7 +57,7 @@
         }
         wait_for_arrivals(&active).await;
         let outcome = prover.step(is_wanted).await;
-        let is_proved = active.proof().holds(clock::now());
+        let is_proved = active.proof().is_valid(clock::now());
         if is_proved != was_proved {
             report(is_proved, &outcome, &active, &events);
             was_proved = is_proved;
--- a/crates/jackdawpier_entry/src/http_client.rs
+++ b/crates/jackdawpier_entry/src/http_client.rs
@@ -1,7 +1,7 @@
-//! HTTP clients: kept-alive connections a host, a timeout for every call, and a bound on connections.
+//! HTTP client with keep-alive connections per host, a timeout for every call and a limit on connections.
 //!
-//! How large an answer is, its sender decides, and how long it takes, the link. So the timeout of a call holds for the
-//! beginning of its answer; from then on an answer goes on for as long as its parts come.
+//! The size of an answer depends on its sender, and its duration on the link. So the timeout of a call
+//! applies to the head of the answer; after that, the body may take as long as chunks keep arriving.
 
 use std::{
     cell::{Cell, RefCell},
@@ -27,35 +27,35 @@
 
 use crate::response_progress::{ResponseGuard, ResponseProgress};
 
-/// Idle connections kept a host: a long poll, and a few orders at a time.
-const IDLE_PER_HOST: usize = 4;
-/// Time for a connection to open; beyond it the host is taken to be out of reach.
+/// Maximum number of idle connections kept per host: enough for a long poll and a few concurrent orders.
+const MAX_IDLE_PER_HOST: usize = 4;
+/// Time for a connection to open; after that the host is considered unreachable.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest pause between two parts of an answer; beyond it the host is taken to be silent.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
-/// Longest time for a whole answer, against a host that sends without end: several times what the largest value of the
-/// store takes over 2 Mbit/s.
-const LONGEST_ANSWER: Duration = Duration::from_secs(30);
+/// Maximum time between two chunks of an answer; after that the host is considered unresponsive.
+const CHUNK_TIMEOUT: Duration = Duration::from_millis(800);
+/// Maximum time for a whole answer, against a host that sends without end. Several times the transfer time of
+/// the store's largest value at 2 Mbit/s.
+const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What to send.
+/// A request to send.
 #[derive(Debug, Clone)]
 pub struct Call {
-    /// Method.
+    /// HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// Headers besides the usual ones.
+    /// Headers besides `Host` and `Content-Type`.
     pub headers: Vec<(&'static str, String)>,
-    /// Body as JSON; empty for none.
+    /// JSON body; empty for none.
     pub body: Vec<u8>,
-    /// Where it is noted that an answer is on its way.
-    arrivals: Option<ResponseProgress>,
+    /// Tracks the answer while it is received.
+    progress: Option<ResponseProgress>,
 }
 
 impl Call {
-    /// A call without a body.
+    /// Creates a call without a body.
     pub fn new(method: Method, path: impl Into<String>) -> Self {
-        Self { method, path: path.into(), headers: Vec::new(), body: Vec::new(), arrivals: None }
+        Self { method, path: path.into(), headers: Vec::new(), body: Vec::new(), progress: None }
     }
 
     /// Sets the body.
@@ -65,10 +65,10 @@
         self
     }
 
-    /// Notes the answer while it comes, unless the call is turned away.
+    /// Tracks the answer in `progress` while it is received, unless its status is an error.
     #[must_use]
-    pub fn with_progress(mut self, arrivals: &ResponseProgress) -> Self {
-        self.arrivals = Some(arrivals.clone());
+    pub fn with_progress(mut self, progress: &ResponseProgress) -> Self {
+        self.progress = Some(progress.clone());
         self
     }
 
@@ -80,38 +80,38 @@
     }
 }
 
-/// An answer.
+/// A complete answer.
 #[derive(Debug, Clone)]
 pub struct Answer {
-    /// Status code.
+    /// HTTP status code.
     pub status: u16,
-    /// Body.
+    /// The whole body.
     pub body: Bytes,
 }
 
-/// What kept a request from leaving.
+/// Why a request couldn't be sent.
 #[derive(Debug, Clone, Copy, Display, PartialEq, Eq)]
 pub enum SendFailure {
-    /// The connection didn't open in time.
+    /// The connection wasn't established in time.
     #[display("it doesn't open connections")]
     Timeout,
-    /// The host turned the connection away.
+    /// The host refused the connection.
     #[display("it refuses connections")]
     Refused,
-    /// This process has as many open files as it may have.
+    /// The limit of open files of this process or system is reached.
     #[display("no file descriptor is left here")]
     NoDescriptor,
-    /// All connections that the client may have open are in use.
+    /// All connections that the client may open are in use.
     #[display("all connections for such calls are in use")]
     NoConnectionSlot,
-    /// Anything else that ended the connection first.
+    /// The connection failed for another reason.
     #[display("the connection failed")]
     Failed,
 }
 
 impl SendFailure {
-    /// What an error of a socket comes to.
-    pub(crate) fn of(error: &io::Error) -> Self {
+    /// Classifies an error of a socket.
+    pub(crate) fn from_io(error: &io::Error) -> Self {
         let errno = error.raw_os_error().map(Errno::from_raw);
         match errno {
             Some(Errno::EMFILE | Errno::ENFILE) => Self::NoDescriptor,
@@ -125,22 +125,22 @@
 /// Why there is no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoAnswer {
-    /// The request didn't leave.
+    /// The request wasn't sent.
     NotSent(SendFailure),
-    /// It may have arrived.
+    /// The request may have been received, but there is no complete answer.
     Lost {
-        /// How much of the answer's body had come: none of a silent host, some of a slow one.
+        /// Bytes of the answer's body that were received: 0 from an unresponsive host, more from a slow one.
         received_bytes: usize,
     },
 }
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// A client with connections of its own.
+/// An HTTP client with its own connection pool.
 #[derive(Debug, Clone)]
 pub struct HttpClient {
     idle: Rc<RefCell<Idle>>,
-    /// Connections that are open or about to be.
+    /// Number of connections that are open or being opened.
     open: Rc<Cell<usize>>,
     max_open: usize,
 }
@@ -152,22 +152,22 @@
 }
 
 impl HttpClient {
-    /// A client that opens no more connections than these at a time. A process that talks to thousands of
-    /// hosts keeps the rest of its descriptors for what it can't do without: its store and its callers.
+    /// Creates a client with at most `max_open` connections at a time. In a process that calls thousands of
+    /// hosts this leaves file descriptors for the connections to the store and to callers.
     pub fn bounded(max_open: usize) -> Self {
         Self { idle: Rc::default(), open: Rc::default(), max_open }
     }
 
-    /// Sends a call and waits for its answer: at most `patience` for its beginning, and for the rest of it as long
-    /// as its parts come. A connection on which that fails is never used again, nor are its idle neighbours: they
-    /// may be as silent.
+    /// Sends a call and waits for its answer: up to `head_timeout` for the head, and for the body as long as
+    /// chunks keep arriving. After a failure neither this connection nor the idle ones to the same host are
+    /// used again, since they may be broken as well.
     pub async fn call(
         &self,
         host: &Arc<str>,
         call: &Call,
-        patience: Duration,
+        head_timeout: Duration,
     ) -> Result<Answer, NoAnswer> {
-        let answer = self.exchange(host, call, patience).await;
+        let answer = self.exchange(host, call, head_timeout).await;
         if answer.is_err() {
             self.idle.borrow_mut().remove(host);
         }
@@ -178,17 +178,17 @@
         &self,
         host: &Arc<str>,
         call: &Call,
-        patience: Duration,
+        head_timeout: Duration,
     ) -> Result<Answer, NoAnswer> {
-        let beginning = timeout(patience, self.begin(host, call)).await;
-        let (sender, response) = beginning.unwrap_or(Err(SILENT))?;
-        let answer = read_answer(response, call.arrivals.as_ref()).await?;
-        self.keep(host, sender);
+        let head = timeout(head_timeout, self.send_call(host, call)).await;
+        let (sender, response) = head.unwrap_or(Err(NOTHING_RECEIVED))?;
+        let answer = read_answer(response, call.progress.as_ref()).await?;
+        self.return_idle(host, sender);
         Ok(answer)
     }
 
     /// Sends a call and waits for the head of its answer.
-    async fn begin(
+    async fn send_call(
         &self,
         host: &Arc<str>,
         call: &Call,
@@ -198,58 +198,58 @@
                 continue;
             }
             match send(&mut sender, host, call).await {
-                // The host had closed it: nothing left, so a new one may be tried.
+                // The host had closed the idle connection and nothing was sent: try the next one.
                 Err(NoAnswer::NotSent(_)) => {}
                 Err(lost @ NoAnswer::Lost { .. }) => return Err(lost),
                 Ok(response) => return Ok((sender, response)),
             }
         }
-        let mut sender = connect(host, self.take_place()?).await?;
+        let mut sender = connect(host, self.acquire_slot()?).await?;
         let response = send(&mut sender, host, call).await?;
         Ok((sender, response))
     }
 
-    /// A place for one more connection, if need be that of an idle one.
-    fn take_place(&self) -> Result<Place, NoAnswer> {
+    /// Acquires a slot for a new connection, closing an idle one if none is free.
+    fn acquire_slot(&self) -> Result<ConnectionSlot, NoAnswer> {
         if self.open.get() >= self.max_open && !self.close_idle() {
             return Err(NoAnswer::NotSent(SendFailure::NoConnectionSlot));
         }
         self.open.set(self.open.get() + 1);
-        Ok(Place(self.open.clone()))
+        Ok(ConnectionSlot(self.open.clone()))
     }
 
     /// Closes an idle connection; returns whether there was one.
     fn close_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
         let Some(host) = idle.keys().next().cloned() else { return false };
-        take_from(&mut idle, &host).is_some()
+        pop_idle(&mut idle, &host).is_some()
     }
 
     fn take_idle(&self, host: &Arc<str>) -> Option<Sender> {
-        take_from(&mut self.idle.borrow_mut(), host)
+        pop_idle(&mut self.idle.borrow_mut(), host)
     }
 
-    fn keep(&self, host: &Arc<str>, sender: Sender) {
+    fn return_idle(&self, host: &Arc<str>, sender: Sender) {
         if sender.is_closed() {
             return;
         }
         let mut idle = self.idle.borrow_mut();
         let of_host = idle.entry(host.clone()).or_default();
-        if of_host.len() < IDLE_PER_HOST {
+        if of_host.len() < MAX_IDLE_PER_HOST {
             of_host.push(sender);
         }
     }
 
-    /// Forgets the connections to hosts that `keep` refuses.
+    /// Closes the idle connections to hosts for which `keep` returns false.
     pub fn retain(&self, keep: impl Fn(&str) -> bool) {
         self.idle.borrow_mut().retain(|host, _| keep(host));
     }
 }
 
-/// Idle connections by host; a host without one isn't listed.
+/// Idle connections by host; hosts without one are absent.
 type Idle = HashMap<Arc<str>, Vec<Sender>>;
 
-fn take_from(idle: &mut Idle, host: &Arc<str>) -> Option<Sender> {
+fn pop_idle(idle: &mut Idle, host: &Arc<str>) -> Option<Sender> {
     let senders = idle.get_mut(host)?;
     let sender = senders.pop();
     if senders.is_empty() {
@@ -258,33 +258,33 @@
     sender
 }
 
-/// One of the connections that a client may have open.
-struct Place(Rc<Cell<usize>>);
+/// One of the connections that a client may have open; released on drop.
+struct ConnectionSlot(Rc<Cell<usize>>);
 
-impl Drop for Place {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-async fn connect(host: &str, place: Place) -> Result<Sender, NoAnswer> {
+async fn connect(host: &str, slot: ConnectionSlot) -> Result<Sender, NoAnswer> {
     let opening = timeout(CONNECT_TIMEOUT, TcpStream::connect(host)).await;
     let opened = opening.map_err(|_| NoAnswer::NotSent(SendFailure::Timeout))?;
-    let stream = opened.map_err(|error| NoAnswer::NotSent(SendFailure::of(&error)))?;
+    let stream = opened.map_err(|error| NoAnswer::NotSent(SendFailure::from_io(&error)))?;
     let failed = NoAnswer::NotSent(SendFailure::Failed);
-    // Without it small requests wait for acknowledgements.
+    // Otherwise small requests would wait for acknowledgements.
     stream.set_nodelay(true).map_err(|_| failed)?;
     let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|_| failed)?;
-    // Its errors come back through the sender.
+    // Errors of the connection are reported by the sender.
     tokio::task::spawn_local(async move {
         drop(connection.await);
-        drop(place);
+        drop(slot);
     });
     Ok(sender)
 }
 
-/// Nothing came.
-const SILENT: NoAnswer = NoAnswer::Lost { received_bytes: 0 };
+/// The failure of a call without any part of an answer.
+const NOTHING_RECEIVED: NoAnswer = NoAnswer::Lost { received_bytes: 0 };
 
 async fn send(
     sender: &mut Sender,
@@ -302,39 +302,39 @@
     let not_sent = NoAnswer::NotSent(SendFailure::Failed);
     let request = request.body(body).map_err(|_| not_sent)?;
     let sending = sender.send_request(request).await;
-    sending.map_err(|error| if error.is_canceled() { not_sent } else { SILENT })
+    sending.map_err(|error| if error.is_canceled() { not_sent } else { NOTHING_RECEIVED })
 }
 
 async fn read_answer(
     response: Response<Incoming>,
-    arrivals: Option<&ResponseProgress>,
+    progress: Option<&ResponseProgress>,
 ) -> Result<Answer, NoAnswer> {
     let status = response.status();
     let is_served = status.is_success() || status == StatusCode::PRECONDITION_FAILED;
-    let arrival = arrivals.filter(|_| is_served).map(ResponseProgress::begin);
+    let guard = progress.filter(|_| is_served).map(ResponseProgress::begin_response);
     let mut body = BytesMut::new();
-    let reading = read_body(response.into_body(), &mut body, arrival.as_ref());
-    let is_whole = timeout(LONGEST_ANSWER, reading).await.unwrap_or(false);
+    let reading = read_body(response.into_body(), &mut body, guard.as_ref());
+    let is_whole = timeout(BODY_TIMEOUT, reading).await.unwrap_or(false);
     if !is_whole {
         return Err(NoAnswer::Lost { received_bytes: body.len() });
     }
     Ok(Answer { status: status.as_u16(), body: body.freeze() })
 }
 
-/// Reads on for as long as parts come; returns whether the end was reached.
+/// Reads the body as long as chunks keep arriving; returns whether its end was reached.
 async fn read_body(
     mut incoming: Incoming,
     body: &mut BytesMut,
-    arrival: Option<&ResponseGuard>,
+    guard: Option<&ResponseGuard>,
 ) -> bool {
     loop {
-        match timeout(LONGEST_PAUSE, incoming.frame()).await {
+        match timeout(CHUNK_TIMEOUT, incoming.frame()).await {
             Ok(None) => return true,
             Ok(Some(Ok(frame))) => {
-                if let Ok(part) = frame.into_data() {
-                    body.extend_from_slice(&part);
+                if let Ok(chunk) = frame.into_data() {
+                    body.extend_from_slice(&chunk);
                 }
-                arrival.inspect(|arrival| arrival.part());
+                guard.inspect(|guard| guard.on_chunk());
             }
             Ok(Some(Err(_))) | Err(_) => return false,
         }
--- a/crates/jackdawpier_entry/src/http_server.rs
+++ b/crates/jackdawpier_entry/src/http_server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server that callers and the balancer reach.
+//! The HTTP server for callers and the load balancer.
 
 use std::{
     cell::Cell,
@@ -30,42 +30,43 @@
     watched_stream::{WatchedStream, is_readable},
 };
 
-/// Pause after a failed accept, most often for want of descriptors.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Largest head and buffer a connection, in bytes.
-const BUFFER_BYTES: usize = 16 * 1024;
+/// Delay after a failed accept, usually caused by a lack of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Maximum size of a request head and of the buffer of a connection.
+const MAX_BUFFER_BYTES: usize = 16 * 1024;
 
-/// What a handler answers.
+/// The response of a handler.
 pub type Reply = Response<Full<Bytes>>;
 
-/// Requests being answered, so that a stop can wait for them.
+/// Counts the requests being answered, so that a shutdown can wait for them.
 #[derive(Debug, Clone, Default)]
 pub struct InFlight(Rc<Cell<usize>>);
 
 impl InFlight {
-    /// Number of requests being answered.
+    /// Returns the number of requests being answered.
     pub fn count(&self) -> usize {
         self.0.get()
     }
 }
 
-struct Counted(InFlight);
+/// Counts a request as in flight until it is dropped.
+struct InFlightGuard(InFlight);
 
-impl Counted {
+impl InFlightGuard {
     fn new(in_flight: InFlight) -> Self {
         in_flight.0.set(in_flight.0.get() + 1);
         Self(in_flight)
     }
 }
 
-impl Drop for Counted {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let count = &self.0.0;
         count.set(count.get() - 1);
     }
 }
 
-/// Serves a port within the usual limits, see [`serve_with_limits`].
+/// Serves a port with the default limits, see [`serve_with_limits`].
 pub async fn serve<H, F>(
     address: SocketAddr,
     handler: H,
@@ -80,9 +81,10 @@
     serve_with_limits(address, connections, limits, handler, in_flight, stopping).await
 }
 
-/// Serves a port until its connections are closed. Once `stopping` is true each connection ends with its
-/// next answer; idle ones stay open, since a request may be on its way, and new ones are taken, since
-/// the balancer may not have noticed yet. See `docs/design/callers-port.md` for the limits.
+/// Serves a port until its connections are closed. Once `stopping` is true each connection is closed with
+/// its next answer; idle connections stay open, since a request may be in transit, and new ones are
+/// accepted, since the load balancer may not have noticed yet. See `docs/design/callers-port.md` for the
+/// limits.
 pub async fn serve_with_limits<L, H, F>(
     address: SocketAddr,
     connections: Connections,
@@ -111,7 +113,7 @@
     Ok(())
 }
 
-/// Takes new connections in for ever; idle ones make room for them.
+/// Accepts new connections until it is cancelled, closing idle ones if a limit is reached.
 async fn accept(
     listener: &TcpListener,
     connections: &Connections,
@@ -125,12 +127,12 @@
                 serve_stream(stream);
             }
             Err(error)
-                if SendFailure::of(&error) == SendFailure::NoDescriptor
+                if SendFailure::from_io(&error) == SendFailure::NoDescriptor
                     && is_readable(listener) =>
             {
-                connections.close_longest_idle(ACCEPT_PAUSE).await;
+                connections.close_longest_idle(ACCEPT_RETRY_DELAY).await;
             }
-            Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
@@ -145,7 +147,7 @@
     H: Fn(Request<Incoming>) -> F,
     F: Future<Output = Reply>,
 {
-    // A failure shows when the connection is used.
+    // A failure is reported when the connection is used.
     let _ = stream.set_nodelay(true);
     let connection = Rc::new(connection);
     poll_fn(|context| {
@@ -156,7 +158,7 @@
     let stream = WatchedStream::new(stream, connection.clone());
     let service = service_fn(move |request| {
         connection.begin();
-        let counted = Counted::new(in_flight.clone());
+        let guard = InFlightGuard::new(in_flight.clone());
         let reply = handler(request);
         let (connection, stopping) = (connection.clone(), stopping.clone());
         async move {
@@ -165,14 +167,14 @@
                 reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
             connection.answer();
-            drop(counted);
+            drop(guard);
             Ok::<_, std::convert::Infallible>(reply)
         }
     });
-    // A caller that breaks off is no event for us.
+    // A caller that disconnects isn't an error.
     let _ = http1::Builder::new()
         .header_read_timeout(None)
-        .max_buf_size(BUFFER_BYTES)
+        .max_buf_size(MAX_BUFFER_BYTES)
         .serve_connection(stream, service)
         .await;
 }
--- a/crates/jackdawpier_entry/src/keys.rs
+++ b/crates/jackdawpier_entry/src/keys.rs
@@ -1,41 +1,42 @@
-//! The keys of the store that the entries write.
+//! Keys of the store that entries write.
 
-/// The entry that owns the fleet; its revision is the fence of all orders.
+/// The entry that owns the fleet; the key's revision is the fencing token of all orders.
 pub const OWNER: &str = "owner";
-/// Prefix of what the owner watches: accepted jobs and cancellations.
+/// Prefix of the keys that the owner watches: accepted jobs and cancellations.
 pub const INTAKE: &str = "jobs/";
 /// Prefix of accepted jobs.
 pub const SUBMISSIONS: &str = "jobs/in/";
 /// Prefix of cancellations.
 pub const CANCELLATIONS: &str = "jobs/cancel/";
-/// Prefix of the progress of jobs, written by the owner alone.
+/// Prefix of the progress records of jobs, written only by the owner.
 pub const RECORDS: &str = "records/";
-/// Jobs of each queue that haven't begun, written by the owner, or without one by the entry that counts them.
+/// Number of jobs of each queue that haven't started, written by the owner, or without an owner by the entry
+/// that counts them.
 pub const PENDING: &str = "pending";
-/// Which operators' document stood when an entry last looked, for all entries.
+/// The latest proof of freshness of the configuration, shared by all entries.
 pub const PROOF: &str = "proof";
-/// Prefix of machines that were maintained for a wave, written by the owner alone.
+/// Prefix of the machines that were maintained in each wave, written only by the owner.
 pub const WAVES: &str = "waves/";
 
-/// Machines that the owner ordered lately, written by the owner alone.
+/// Machines to which the owner recently sent orders, written only by the owner.
 pub const MACHINE_ORDERS: &str = "machine-orders";
 
-/// Key of an accepted job.
+/// Returns the key of an accepted job.
 pub fn submission(job: &str) -> String {
     format!("{SUBMISSIONS}{job}")
 }
 
-/// Key of the cancellation of a job.
+/// Returns the key of the cancellation of a job.
 pub fn cancellation(job: &str) -> String {
     format!("{CANCELLATIONS}{job}")
 }
 
-/// Key of the progress of a job.
+/// Returns the key of the progress record of a job.
 pub fn record(job: &str) -> String {
     format!("{RECORDS}{job}")
 }
 
-/// Key of the machines that were maintained for a wave.
+/// Returns the key of the machines that were maintained in a wave.
 pub fn wave(number: u64) -> String {
     format!("{WAVES}{number}")
 }
--- a/crates/jackdawpier_entry/src/log_volume.rs
+++ b/crates/jackdawpier_entry/src/log_volume.rs
@@ -1,12 +1,12 @@
-//! How much is logged: in a burst what there is most of is left out and counted, and the rare decisions,
-//! such as those that end a caller's work, stand.
+//! Rate limits of log lines: in a burst frequent kinds are suppressed and counted, while rare decisions, such
+//! as those that end a caller's work, are logged.
 
 use std::collections::HashMap;
 
 use jackdawpier_kernel::Now;
 
-/// Events of which a busy owner has hundreds a second.
-const ROUTINE: [&str; 9] = [
+/// Kinds of events that a busy owner emits hundreds of times a second.
+const ROUTINE_KINDS: [&str; 9] = [
     "answered",
     "job_in",
     "pace",
@@ -17,60 +17,61 @@
     "task_suspect",
     "task_waits",
 ];
-/// Lines of one routine kind a second; a busy owner starts and ends some 400 tasks a second.
-const ROUTINE_LINES_PER_S: u32 = 500;
-/// Lines of any other kind a second: all stops of the largest wave of cancellations.
-const RARE_LINES_PER_S: u32 = 4000;
+/// Maximum lines per second of each routine kind; a busy owner starts and ends about 400 tasks a second.
+const MAX_ROUTINE_LINES_PER_S: u32 = 500;
+/// Maximum lines per second of each other kind: enough for all stops of the largest wave of cancellations.
+const MAX_RARE_LINES_PER_S: u32 = 4000;
 
-/// Lines of one kind that a second left out.
+/// Number of lines of one kind that were suppressed within a second.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SuppressedLines {
-    /// The kind.
+    /// Kind of the event.
     pub kind: &'static str,
-    /// How many.
+    /// Number of suppressed lines.
     pub lines: u64,
 }
 
 #[derive(Debug, Default)]
-struct Rate {
+struct LineCounts {
     written: u32,
-    left_out: u64,
+    suppressed: u64,
 }
 
-/// Counts the lines of each kind in a second.
+/// Limits the number of lines of each kind per second.
 #[derive(Debug, Default)]
 pub struct LogVolume {
-    rates: HashMap<&'static str, Rate>,
+    counts: HashMap<&'static str, LineCounts>,
     second: u64,
 }
 
 impl LogVolume {
-    /// Begins to count anew with each second, and returns what the last one left out.
+    /// Resets the counts at the begin of each second, and returns the lines suppressed in the previous one.
     pub fn begin_second(&mut self, now: Now) -> Vec<SuppressedLines> {
         if self.second == now.as_secs() {
             return Vec::new();
         }
         self.second = now.as_secs();
-        let rates = std::mem::take(&mut self.rates);
-        rates
+        let counts = std::mem::take(&mut self.counts);
+        counts
             .into_iter()
-            .filter(|(_, rate)| rate.left_out > 0)
-            .map(|(kind, rate)| SuppressedLines { kind, lines: rate.left_out })
+            .filter(|(_, counts)| counts.suppressed > 0)
+            .map(|(kind, counts)| SuppressedLines { kind, lines: counts.suppressed })
             .collect()
     }
 
-    /// Whether there have been few enough lines of this kind in this second for one more.
+    /// Counts a line and returns whether the limit of its kind allows it in this second.
     pub fn admit(&mut self, kind: &'static str) -> bool {
-        let most = if is_routine(kind) { ROUTINE_LINES_PER_S } else { RARE_LINES_PER_S };
-        let rate = self.rates.entry(kind).or_default();
-        let is_admitted = rate.written < most;
-        rate.written += u32::from(is_admitted);
-        rate.left_out += u64::from(!is_admitted);
+        let max_lines =
+            if is_routine(kind) { MAX_ROUTINE_LINES_PER_S } else { MAX_RARE_LINES_PER_S };
+        let counts = self.counts.entry(kind).or_default();
+        let is_admitted = counts.written < max_lines;
+        counts.written += u32::from(is_admitted);
+        counts.suppressed += u64::from(!is_admitted);
         is_admitted
     }
 }
 
-/// Whether there are so many of this kind that a burst may leave some out.
+/// Returns whether a kind is so frequent that its lines may be suppressed in a burst.
 pub(crate) fn is_routine(kind: &str) -> bool {
-    ROUTINE.contains(&kind)
+    ROUTINE_KINDS.contains(&kind)
 }
--- a/crates/jackdawpier_entry/src/log_writer.rs
+++ b/crates/jackdawpier_entry/src/log_writer.rs
@@ -1,4 +1,4 @@
-//! The thread that writes log lines, so that no decision waits for whoever reads them.
+//! The thread that writes log lines, so that a slow reader of the log doesn't block decisions.
 
 use std::{
     io::{self, Write},
@@ -10,17 +10,17 @@
     time::Duration,
 };
 
-/// Lines that may wait for the writing thread: about a megabyte.
-const QUEUED_LINES: usize = 4096;
-/// Part of the queue that lines of which there are many leave to the others.
-const KEPT_FREE: usize = 1024;
-/// What a pipe takes as a whole (`PIPE_BUF`): a longer write can be mixed with another writer's, and a
-/// collector can keep a part of it only.
-const MOST_BYTES_PER_WRITE: usize = 4096;
-/// Lets lines gather, so that a burst costs few system calls; each carries its own time.
-const GATHER: Duration = Duration::from_millis(50);
+/// Maximum number of lines that wait for the writing thread: about a megabyte.
+const MAX_QUEUED_LINES: usize = 4096;
+/// Number of places in the queue that routine lines leave free for other lines.
+const RESERVED_LINES: usize = 1024;
+/// Maximum size of an atomic write to a pipe (`PIPE_BUF`). Longer writes can be interleaved with those of other
+/// writers, and a log collector may truncate them.
+const MAX_BYTES_PER_WRITE: usize = 4096;
+/// Delay between writes, so that a burst needs few system calls. Each line has its own timestamp.
+const BATCH_DELAY: Duration = Duration::from_millis(50);
 
-/// Hands lines to the writing thread.
+/// Sends lines to the writing thread.
 #[derive(Debug)]
 pub(crate) struct LogWriter {
     lines: SyncSender<String>,
@@ -30,17 +30,17 @@
 impl LogWriter {
     /// Starts the thread, which writes to standard output.
     pub(crate) fn start() -> Self {
-        let (lines, queue) = sync_channel(QUEUED_LINES);
+        let (lines, queue) = sync_channel(MAX_QUEUED_LINES);
         let queued = Arc::new(AtomicUsize::new(0));
-        let left = queued.clone();
-        std::thread::spawn(move || write_all(&queue, &left));
+        let queued_in_thread = queued.clone();
+        std::thread::spawn(move || write_all(&queue, &queued_in_thread));
         Self { lines, queued }
     }
 
-    /// Queues a line and returns whether it will be written. One that `is_routine` leaves room to others.
+    /// Queues a line and returns whether there was room. Routine lines leave [`RESERVED_LINES`] places free.
     pub(crate) fn try_send(&self, line: String, is_routine: bool) -> bool {
         let waiting = self.queued.fetch_add(1, Ordering::Relaxed);
-        let has_room = !is_routine || waiting < QUEUED_LINES - KEPT_FREE;
+        let has_room = !is_routine || waiting < MAX_QUEUED_LINES - RESERVED_LINES;
         let is_sent = has_room
             && match self.lines.try_send(line) {
                 Ok(()) => true,
@@ -57,25 +57,25 @@
     let mut output = io::stdout();
     while let Ok(first) = queue.recv() {
         let lines = std::iter::once(first).chain(queue.try_iter());
-        let counted = lines.inspect(|_| {
+        let dequeued = lines.inspect(|_| {
             queued.fetch_sub(1, Ordering::Relaxed);
         });
-        if write_lines(counted, &mut output).is_err() {
+        if write_lines(dequeued, &mut output).is_err() {
             return;
         }
-        std::thread::sleep(GATHER);
+        std::thread::sleep(BATCH_DELAY);
     }
 }
 
-/// Writes lines, as many at once as are certain to stay whole.
+/// Writes lines in groups that are small enough to be written atomically.
 ///
 /// # Errors
 ///
-/// What `output` says.
+/// Returns the error of `output`.
 pub fn write_lines(lines: impl Iterator<Item = String>, output: &mut impl Write) -> io::Result<()> {
     let mut text = String::new();
     for line in lines {
-        if !text.is_empty() && text.len() + line.len() + 1 > MOST_BYTES_PER_WRITE {
+        if !text.is_empty() && text.len() + line.len() + 1 > MAX_BYTES_PER_WRITE {
             output.write_all(text.as_bytes())?;
             text.clear();
         }
--- a/crates/jackdawpier_entry/src/response_progress.rs
+++ b/crates/jackdawpier_entry/src/response_progress.rs
@@ -1,7 +1,7 @@
-//! What of a host's answers is on its way.
+//! Progress of the responses that are being received from a host.
 //!
-//! A large answer over a slow link takes seconds. Its parts show meanwhile that the host answers, and a second
-//! copy of it would halve the speed of the first.
+//! A large response over a slow link takes seconds. Meanwhile the received chunks show that the host
+//! answers, and requesting the same response again would halve its speed.
 
 use std::{cell::Cell, rc::Rc};
 
@@ -11,47 +11,47 @@
 
 #[derive(Debug, Default)]
 struct State {
-    under_way: Cell<usize>,
+    in_progress: Cell<usize>,
     last_received_at: Cell<Option<Now>>,
 }
 
-/// The answers of a host that have begun to come.
+/// The responses of a host that are being received.
 #[derive(Debug, Clone, Default)]
 pub struct ResponseProgress(Rc<State>);
 
 impl ResponseProgress {
-    /// When the last part of an answer came; none before the first.
+    /// Returns when the last chunk of a response was received; none before the first.
     pub fn last_received_at(&self) -> Option<Now> {
         self.0.last_received_at.get()
     }
 
-    /// Whether an answer has begun to come and isn't whole yet.
+    /// Returns whether a response has begun and isn't complete yet.
     pub fn is_in_progress(&self) -> bool {
-        self.0.under_way.get() > 0
+        self.0.in_progress.get() > 0
     }
 
-    /// An answer begins to come.
-    pub(crate) fn begin(&self) -> ResponseGuard {
-        self.0.under_way.set(self.0.under_way.get() + 1);
-        let arrival = ResponseGuard(self.0.clone());
-        arrival.part();
-        arrival
+    /// Notes the begin of a response.
+    pub(crate) fn begin_response(&self) -> ResponseGuard {
+        self.0.in_progress.set(self.0.in_progress.get() + 1);
+        let response = ResponseGuard(self.0.clone());
+        response.on_chunk();
+        response
     }
 }
 
-/// One answer, from its head to its end.
+/// One response, in progress until this is dropped.
 #[derive(Debug)]
 pub(crate) struct ResponseGuard(Rc<State>);
 
 impl ResponseGuard {
-    /// A part has come.
-    pub(crate) fn part(&self) {
+    /// Notes a received chunk.
+    pub(crate) fn on_chunk(&self) {
         self.0.last_received_at.set(Some(clock::now()));
     }
 }
 
 impl Drop for ResponseGuard {
     fn drop(&mut self) {
-        self.0.under_way.set(self.0.under_way.get() - 1);
+        self.0.in_progress.set(self.0.in_progress.get() - 1);
     }
 }
--- a/crates/jackdawpier_entry/tests/shared_proof.rs
+++ b/crates/jackdawpier_entry/tests/shared_proof.rs
@@ -124,7 +124,7 @@
     let reading = shared.on_read(s(11), Some(&note(9, 3)));
     let Reading::Confirmed { at, .. } = reading else { panic!("{reading:?}") };
     let proof = Proof { asked_at: Some(at), valid_for: Some(HOLDS_FOR) };
-    assert!(!proof.holds(s(11)));
+    assert!(!proof.is_valid(s(11)));
 }
 
 /// An unchanged note proves nothing, but makes what the next one proves younger.
