--- a/crates/jackdawpier_entry/src/callers.rs
+++ b/crates/jackdawpier_entry/src/callers.rs
@@ -1,4 +1,4 @@
-//! The port that callers use: handing jobs in, asking for them, cancelling them.
+//! The HTTP API for callers: submits, queries and cancels jobs.
 
 use std::{rc::Rc, time::Duration};
 
@@ -38,96 +38,98 @@
     ports::{CallError, CallerLimits, Item, Platform, Route, Transaction, TransactionOutcome},
 };
 
-/// How long a caller is taken to wait if it doesn't say.
-const DEFAULT_PATIENCE: Duration = Duration::from_secs(3);
-/// How long the body of a request may take whose caller doesn't say how long it waits.
-const BODY_PATIENCE: Duration = Duration::from_secs(15);
-/// An answer has to leave this long before its caller gives up.
+/// Timeout of a caller that states none.
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum time to receive the body of a request whose caller states no timeout.
+const DEFAULT_BODY_TIMEOUT: Duration = Duration::from_secs(15);
+/// Time between sending the answer and the timeout of the caller.
 const ANSWER_MARGIN: Duration = Duration::from_millis(150);
-/// When a caller that was refused for the store's sake should come back, in seconds.
+/// Value of `Retry-After`, in seconds, for requests that are refused because the store is unavailable.
 const RETRY_AFTER_S: &str = "1";
-/// A store that can't be reached is asked again for this long; then the caller may try another entry.
-const STORE_PATIENCE: Duration = Duration::from_millis(600);
-/// A caller whose key can't be vouched for waits this long for the store's word: a hundred times what it
-/// takes as a rule.
-const PROOF_PATIENCE: Duration = Duration::from_millis(400);
-/// Pause before a store that gave no answer is asked again.
-const REPEAT_PAUSE: Duration = Duration::from_millis(60);
-
-/// What answering callers needs.
+/// Maximum time for retries of failed calls to the store; after that the caller may try another entry.
+const STORE_RETRY_TIMEOUT: Duration = Duration::from_millis(600);
+/// Maximum time to wait for a proof that the configuration is current, if the caller's key can't be verified
+/// without one. A hundred times the usual duration.
+const PROOF_TIMEOUT: Duration = Duration::from_millis(400);
+/// Delay before a failed call to the store is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
+
+/// Handles the requests of callers.
 #[derive(Debug)]
 pub struct CallerApi<P> {
-    /// The outside.
+    /// The platform, including the store.
     pub platform: P,
     /// The configuration in force.
     pub active: ActiveConfiguration,
-    /// Where jobs are handed in.
+    /// The queue of submitted jobs.
     pub intake: Intake,
     /// The fleet, while this entry owns it.
     pub owner: FleetHandle,
-    /// Counts of jobs that haven't begun.
+    /// Counts the jobs that haven't started.
     pub pending: PendingCounter,
     /// Log lines.
     pub events: Events,
 }
 
 impl<P: Platform> CallerApi<P> {
-    /// Answers one request.
-    pub async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Reply {
+    /// Handles a request.
+    pub async fn handle(self: Rc<Self>, request: Request<Incoming>) -> Reply {
         let path = request.uri().path().to_owned();
         let arrived_at = clock::now();
-        let deadline = arrived_at + self.patience(&request);
+        let deadline = arrived_at + self.answer_timeout(&request);
         let Some(configuration) = self.active.get() else {
             return self.refuse(&path, "no configuration yet");
         };
         let host = request.headers().get(HOST).and_then(|value| value.to_str().ok()).unwrap_or("");
         let Some(route) = self.active.route(host, &path) else {
-            return self.problem(&path, StatusCode::NOT_FOUND, "no such queue");
+            return self.error_reply(&path, StatusCode::NOT_FOUND, "no such queue");
         };
         let key = request.headers().get(self.platform.key_header());
         let key = key.map(|value| ApiKey::new(value.as_bytes()));
         let credentials = Credentials { key, arrived_at, deadline };
         let id = path[route.prefix.len()..].to_owned();
-        let named = if id.is_empty() { &path } else { &id };
+        let logged_id = if id.is_empty() { &path } else { &id };
         let mut query = JobQuery::new(arrived_at);
-        let account = match self.admit(named, &route, &credentials).await {
+        let account = match self.authorize(logged_id, &route, &credentials).await {
             Ok(account) => account,
             Err(reply) => {
                 if *request.method() == Method::GET {
                     let proof_age = self.active.proof_age();
-                    query.answered(&self.events, named, reply.status(), proof_age);
+                    query.log_answer(&self.events, logged_id, reply.status(), proof_age);
                 }
                 return reply;
             }
         };
-        query.admit();
+        query.on_authorized();
         if id.is_empty() && request.method() == Method::GET {
-            return self.pending(&route.queue.name).await;
+            return self.pending_reply(&route.queue.name).await;
         }
         if !self.platform.is_job_id(&id) {
             let why = "the path doesn't end with a job's id";
-            return self.problem(&path, StatusCode::BAD_REQUEST, why);
+            return self.error_reply(&path, StatusCode::BAD_REQUEST, why);
         }
         let id: JobId = id.into();
         match *request.method() {
             Method::POST => {
                 self.submit(&route, id, request, configuration.limits, &credentials).await
             }
-            Method::GET => self.look(&id, account.as_ref(), store_deadline(deadline), query).await,
+            Method::GET => {
+                self.query_job(&id, account.as_ref(), store_deadline(deadline), query).await
+            }
             Method::DELETE => self.cancel(&id, account.as_ref(), store_deadline(deadline)).await,
-            _ => self.problem(&id, StatusCode::METHOD_NOT_ALLOWED, "POST, GET or DELETE"),
+            _ => self.error_reply(&id, StatusCode::METHOD_NOT_ALLOWED, "POST, GET or DELETE"),
         }
     }
 
-    /// Finds out in whose name a caller asks, or what it is to be told if it may not.
-    async fn admit(
+    /// Returns the client account of a request, or the reply if access is denied or can't be verified.
+    async fn authorize(
         &self,
         id: &str,
         route: &Route,
         credentials: &Credentials,
     ) -> Result<Option<AccountName>, Reply> {
         let Credentials { key, arrived_at, deadline } = credentials;
-        let give_up_at = (*deadline).min(clock::now() + PROOF_PATIENCE);
+        let give_up_at = (*deadline).min(clock::now() + PROOF_TIMEOUT);
         loop {
             let Some(configuration) = self.active.get() else {
                 return Err(self.refuse(id, "no configuration yet"));
@@ -137,16 +139,16 @@
             match access {
                 Access::Granted(account) => return Ok(account),
                 Access::MissingKey => {
-                    return Err(self.problem(id, StatusCode::UNAUTHORIZED, "a key is needed"));
+                    return Err(self.error_reply(id, StatusCode::UNAUTHORIZED, "a key is needed"));
                 }
                 Access::UnknownKey => {
                     let why = "the key isn't known; nothing was done";
-                    return Err(self.problem(id, StatusCode::UNAUTHORIZED, why));
+                    return Err(self.error_reply(id, StatusCode::UNAUTHORIZED, why));
                 }
                 Access::Unverified => {
-                    // One from between the request's arrival and now may be too old already.
-                    let patience = give_up_at.saturating_sub(now);
-                    if !self.active.wait_for_proof_since(now, patience).await {
+                    // A proof from between the arrival and now may have expired already.
+                    let time_left = give_up_at.saturating_sub(now);
+                    if !self.active.wait_for_proof_since(now, time_left).await {
                         return Err(self.refuse(id, "the key can't be checked now"));
                     }
                 }
@@ -154,15 +156,16 @@
         }
     }
 
-    /// How long a caller says that it waits.
-    fn said_patience(&self, request: &Request<Incoming>) -> Option<Duration> {
+    /// Returns the timeout that a caller states.
+    fn stated_timeout(&self, request: &Request<Incoming>) -> Option<Duration> {
         let header = request.headers().get(self.platform.deadline_header())?;
         header.to_str().ok()?.parse().ok().map(Duration::from_millis)
     }
 
-    fn patience(&self, request: &Request<Incoming>) -> Duration {
-        let patience = self.said_patience(request).unwrap_or(DEFAULT_PATIENCE);
-        patience.saturating_sub(ANSWER_MARGIN)
+    /// Returns how long after the arrival of a request its answer has to be sent.
+    fn answer_timeout(&self, request: &Request<Incoming>) -> Duration {
+        let timeout = self.stated_timeout(request).unwrap_or(DEFAULT_TIMEOUT);
+        timeout.saturating_sub(ANSWER_MARGIN)
     }
 
     async fn submit(
@@ -174,21 +177,21 @@
         credentials: &Credentials,
     ) -> Reply {
         let deadline = credentials.deadline;
-        let patience = self.said_patience(&request).unwrap_or(BODY_PATIENCE);
-        let read_by = credentials.arrived_at + patience;
+        let body_timeout = self.stated_timeout(&request).unwrap_or(DEFAULT_BODY_TIMEOUT);
+        let read_by = credentials.arrived_at + body_timeout;
         let body = match read_body(request.into_body(), limits.body_bytes, read_by).await {
             Ok(body) => body,
-            Err(error) => return self.problem(&id, error.status(), &error.to_string()),
+            Err(error) => return self.error_reply(&id, error.status(), &error.to_string()),
         };
-        // The key may have been taken away while the body arrived.
-        let account = match self.admit(&id, route, credentials).await {
+        // The key may have been revoked while the body was received.
+        let account = match self.authorize(&id, route, credentials).await {
             Ok(account) => account,
             Err(reply) => return reply,
         };
         let spec = match self.platform.read_job(&body) {
             Ok(spec) => spec,
             Err(error) => {
-                return self.problem(&id, StatusCode::BAD_REQUEST, &error.to_string());
+                return self.error_reply(&id, StatusCode::BAD_REQUEST, &error.to_string());
             }
         };
         let queue = route.queue.name.clone();
@@ -196,8 +199,10 @@
         let accepted_ms = clock::wall_ms();
         let submission = Submission { queue: queue.clone(), settings, account, accepted_ms, spec };
         let arrived_at = clock::now();
-        let unanswered = self.intake.unanswered_since();
-        if let Some(since) = unanswered.filter(|at| !self.active.has_store_answered_since(*at)) {
+        let unanswered_write = self.intake.unanswered_since();
+        if let Some(since) =
+            unanswered_write.filter(|at| !self.active.has_store_answered_since(*at))
+        {
             let silent_ms = clock::since(since).as_millis() as u64;
             let fields = json!({
                 "job": *id,
@@ -209,23 +214,23 @@
             self.events.emit("job_in", fields);
             return self.refuse(&id, "the store doesn't answer");
         }
-        let fate = self.intake.submit(id.clone(), &submission, deadline).await;
+        let outcome = self.intake.submit(id.clone(), &submission, deadline).await;
         self.events.metrics().observe(Latency::Acceptance, clock::since(arrived_at));
         let took_ms = clock::since(arrived_at).as_millis() as u64;
-        let fate_name = format!("{fate:?}");
+        let outcome_name = format!("{outcome:?}");
         let fields = json!({
             "job": *id,
             "queue": *queue,
             "account": submission.account.as_deref(),
-            "fate": fate_name,
+            "fate": outcome_name,
             "took_ms": took_ms,
         });
         self.events.emit("job_in", fields);
-        match fate {
+        match outcome {
             Acceptance::Accepted => reply(StatusCode::OK, Vec::new()),
-            Acceptance::Foreign => self.foreign(&id),
+            Acceptance::Foreign => self.refuse_foreign(&id),
             Acceptance::Refused => self.refuse(&id, "the store can't be reached"),
-            Acceptance::Unknown => self.problem(
+            Acceptance::Unknown => self.error_reply(
                 &id,
                 StatusCode::GATEWAY_TIMEOUT,
                 "it isn't known whether the job is stored",
@@ -233,7 +238,8 @@
         }
     }
 
-    async fn look(
+    /// Answers a query for a job.
+    async fn query_job(
         &self,
         id: &JobId,
         account: Option<&AccountName>,
@@ -242,49 +248,56 @@
     ) -> Reply {
         let reply = match self.owner.job_with_account(id) {
             Some(known) => {
-                let (view, owner) = self.with_end(id, known, &mut query).await;
-                self.show(id, view, owner.as_ref(), account)
+                let (view, owner) = self.with_stored_end(id, known, &mut query).await;
+                self.job_reply(id, view, owner.as_ref(), account)
             }
-            None => self.look_until(id, account, deadline, &mut query).await,
+            None => self.query_store(id, account, deadline, &mut query).await,
         };
-        query.answered(&self.events, id, reply.status(), self.active.proof_age());
+        query.log_answer(&self.events, id, reply.status(), self.active.proof_age());
         reply
     }
 
-    /// What is told of a job that this entry owns. Where its end is on its way to the store, other entries may
-    /// tell of it already, so the store has the last word if it can be had.
-    async fn with_end(&self, id: &JobId, known: KnownJob, query: &mut JobQuery) -> KnownJob {
+    /// Returns the state of a job that this entry owns. While its end is being written to the store, other
+    /// entries may already report it, so the stored record takes precedence if it can be read.
+    async fn with_stored_end(
+        &self,
+        id: &JobId,
+        known: JobWithAccount,
+        query: &mut JobQuery,
+    ) -> JobWithAccount {
         if !self.owner.is_ending(id) {
             return known;
         }
-        query.asks_store();
-        self.look_at_record(id).await.ok().flatten().unwrap_or(known)
+        query.on_store_access();
+        self.read_record(id).await.ok().flatten().unwrap_or(known)
     }
 
-    async fn look_until(
+    async fn query_store(
         &self,
         id: &JobId,
         account: Option<&AccountName>,
         deadline: Now,
         query: &mut JobQuery,
     ) -> Reply {
-        query.asks_store();
-        let mut step = LookStep::Record;
+        query.on_store_access();
+        let mut step = LookupStep::Record;
         loop {
-            match self.look_in_store(id, &mut step).await {
-                Ok(Some((view, owner))) => return self.show(id, view, owner.as_ref(), account),
-                Ok(None) => return self.problem(id, StatusCode::GONE, "no such job"),
-                Err(error) => query.failed(error),
+            match self.read_from_step(id, &mut step).await {
+                Ok(Some((view, owner))) => {
+                    return self.job_reply(id, view, owner.as_ref(), account);
+                }
+                Ok(None) => return self.error_reply(id, StatusCode::GONE, "no such job"),
+                Err(error) => query.on_store_failure(error),
             }
-            if clock::now() + REPEAT_PAUSE >= deadline {
+            if clock::now() + RETRY_DELAY >= deadline {
                 return self.refuse(id, "the store can't be reached");
             }
-            tokio::time::sleep(REPEAT_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Tells a caller of a job, if it is its own.
-    fn show(
+    /// Answers with the state of a job if it belongs to the caller's account.
+    fn job_reply(
         &self,
         id: &JobId,
         view: JobView,
@@ -292,34 +305,35 @@
         account: Option<&AccountName>,
     ) -> Reply {
         if is_foreign(owner, account) {
-            return self.foreign(id);
+            return self.refuse_foreign(id);
         }
         reply(StatusCode::OK, self.platform.encode_job_view(view))
     }
 
-    /// Reads on from `step`, and notes how far it has come: a reading that is refused is repeated alone.
-    async fn look_in_store(
+    /// Reads a job from the store beginning at `step`, which is advanced, so that a retry repeats only the
+    /// failed read.
+    async fn read_from_step(
         &self,
         id: &JobId,
-        step: &mut LookStep,
-    ) -> Result<Option<KnownJob>, CallError> {
-        if *step == LookStep::Record {
-            if let Some(known) = self.look_at_record(id).await? {
+        step: &mut LookupStep,
+    ) -> Result<Option<JobWithAccount>, CallError> {
+        if *step == LookupStep::Record {
+            if let Some(known) = self.read_record(id).await? {
                 return Ok(Some(known));
             }
-            *step = LookStep::Submission;
+            *step = LookupStep::Submission;
         }
-        if *step == LookStep::Submission {
+        if *step == LookupStep::Submission {
             if let Some(item) = self.platform.get(&keys::submission(id)).await? {
                 let submission: Submission = self.parse(&item)?;
                 return Ok(Some((JobView::Queued, submission.account)));
             }
-            *step = LookStep::RecordAgain;
+            *step = LookupStep::RecordRetry;
         }
-        self.look_at_record(id).await
+        self.read_record(id).await
     }
 
-    async fn look_at_record(&self, id: &JobId) -> Result<Option<KnownJob>, CallError> {
+    async fn read_record(&self, id: &JobId) -> Result<Option<JobWithAccount>, CallError> {
         let Some(item) = self.platform.get(&keys::record(id)).await? else { return Ok(None) };
         let record: JobRecord = self.parse(&item)?;
         let view = match record.outcome {
@@ -338,21 +352,23 @@
         })
     }
 
-    /// A cancellation is acknowledged once it is durable; the owner carries it out.
+    /// Writes the cancellation of a job and acknowledges it once it is durable; the owner carries it out.
     async fn cancel(&self, id: &JobId, account: Option<&AccountName>, deadline: Now) -> Reply {
         loop {
             match self.cancel_once(id, account).await {
-                Ok(end) => {
-                    let fields = json!({ "job": **id, "known": end != Cancellation::Unknown });
+                Ok(outcome) => {
+                    let fields = json!({ "job": **id, "known": outcome != Cancellation::Unknown });
                     self.events.emit("cancel_in", fields);
-                    return match end {
+                    return match outcome {
                         Cancellation::Durable => reply(StatusCode::OK, Vec::new()),
-                        Cancellation::Unknown => self.problem(id, StatusCode::GONE, "no such job"),
-                        Cancellation::Foreign => self.foreign(id),
+                        Cancellation::Unknown => {
+                            self.error_reply(id, StatusCode::GONE, "no such job")
+                        }
+                        Cancellation::Foreign => self.refuse_foreign(id),
                     };
                 }
-                Err(_) if clock::now() + REPEAT_PAUSE < deadline => {
-                    tokio::time::sleep(REPEAT_PAUSE).await;
+                Err(_) if clock::now() + RETRY_DELAY < deadline => {
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
                 Err(_) => return self.refuse(id, "the store can't be reached"),
             }
@@ -386,21 +402,22 @@
         }
     }
 
-    /// A job that is over is known, and there is nothing left to cancel.
+    /// Handles the cancellation of a job without a submission: if it has ended, there is nothing left to cancel.
     async fn cancel_ended(
         &self,
         id: &JobId,
         account: Option<&AccountName>,
     ) -> Result<Cancellation, CallError> {
-        let known = self.look_at_record(id).await?;
-        Ok(match known {
+        let record = self.read_record(id).await?;
+        Ok(match record {
             Some((_, owner)) if is_foreign(owner.as_ref(), account) => Cancellation::Foreign,
             Some(_) => Cancellation::Durable,
             None => Cancellation::Unknown,
         })
     }
 
-    async fn pending(&self, queue: &QueueName) -> Reply {
+    /// Answers with the number of pending jobs of a queue.
+    async fn pending_reply(&self, queue: &QueueName) -> Reply {
         if let Some(count) = self.owner.pending_count(queue) {
             return reply(StatusCode::OK, self.platform.encode_pending_count(count));
         }
@@ -410,42 +427,42 @@
         }
     }
 
-    /// The job is another client account's.
-    fn foreign(&self, id: &str) -> Reply {
+    /// Refuses a request because the job belongs to another client account.
+    fn refuse_foreign(&self, id: &str) -> Reply {
         let why = "the job belongs to another client account; nothing was done";
-        self.problem(id, StatusCode::FORBIDDEN, why)
+        self.error_reply(id, StatusCode::FORBIDDEN, why)
     }
 
-    /// Nothing was done, and the caller may come back.
+    /// Refuses a request without any effect; the caller may retry.
     fn refuse(&self, id: &str, why: &str) -> Reply {
-        let mut reply = self.problem(id, StatusCode::SERVICE_UNAVAILABLE, why);
+        let mut reply = self.error_reply(id, StatusCode::SERVICE_UNAVAILABLE, why);
         let retry_after = hyper::header::HeaderValue::from_static(RETRY_AFTER_S);
         reply.headers_mut().insert(RETRY_AFTER, retry_after);
         reply
     }
 
-    /// An error; `id` is the job's, or the path that names none.
-    fn problem(&self, id: &str, status: StatusCode, why: &str) -> Reply {
+    /// Logs and returns an error; `id` is the job's id, or the path if it contains none.
+    fn error_reply(&self, id: &str, status: StatusCode, why: &str) -> Reply {
         let fields = json!({ "job": id, "status": status.as_u16(), "why": why });
         self.events.emit("answered", fields);
         reply(status, self.platform.encode_error(why))
     }
 }
 
-/// What a caller shows, and until when it waits.
+/// The key and the times of a request.
 struct Credentials {
     key: Option<ApiKey>,
     arrived_at: Now,
     deadline: Now,
 }
 
-/// Why the body of a request can't be used; nothing was done.
+/// Why the body of a request can't be used. Such a request has no effect.
 #[derive(Debug, Clone, Copy, Display)]
 enum BodyError {
-    /// Its caller's time was over before it was whole.
+    /// It wasn't complete before the deadline.
     #[display("the body didn't arrive in time; nothing was done")]
     Late,
-    /// It is larger than the configuration allows, or its caller broke off.
+    /// It exceeds the configured limit, or the caller disconnected.
     #[display("the body is too large")]
     TooLarge,
 }
@@ -459,46 +476,46 @@
     }
 }
 
-async fn read_body(body: Incoming, most_bytes: usize, read_by: Now) -> Result<Bytes, BodyError> {
-    let left = read_by.saturating_sub(clock::now());
-    let read = timeout(left, Limited::new(body, most_bytes).collect()).await;
+async fn read_body(body: Incoming, max_bytes: usize, read_by: Now) -> Result<Bytes, BodyError> {
+    let time_left = read_by.saturating_sub(clock::now());
+    let read = timeout(time_left, Limited::new(body, max_bytes).collect()).await;
     let body = read.map_err(|_| BodyError::Late)?.map_err(|_| BodyError::TooLarge)?;
     Ok(body.to_bytes())
 }
 
-/// What is read next of a job. One that has only been handed in has no record.
+/// What is read next about a job. A job that was only submitted has no record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum LookStep {
+enum LookupStep {
     Record,
-    /// There was no record.
+    /// The submission, since there was no record.
     Submission,
-    /// There was neither: it may have ended between the two readings.
-    RecordAgain,
+    /// The record again, since the job may have ended between the first two reads.
+    RecordRetry,
 }
 
-/// A job's state and the client account that it belongs to.
-type KnownJob = (JobView, Option<AccountName>);
+/// A job's state and its client account.
+type JobWithAccount = (JobView, Option<AccountName>);
 
-/// How a request to cancel ended.
+/// The outcome of a cancellation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Cancellation {
-    /// The job is cancelled or over, durably.
+    /// The job is durably cancelled or has ended.
     Durable,
     /// There is no such job.
     Unknown,
-    /// It is another client account's.
+    /// The job belongs to another client account.
     Foreign,
 }
 
-/// Whether a job belongs to another client account than the caller's. One that was handed in without a
-/// key is nobody's in particular.
+/// Returns whether a job belongs to a client account other than the caller's. A job that was submitted
+/// without a key belongs to no account.
 fn is_foreign(owner: Option<&AccountName>, account: Option<&AccountName>) -> bool {
     owner.is_some_and(|owner| account != Some(owner))
 }
 
-/// Until when the store is asked for a caller that waits until `deadline`.
+/// Returns until when calls to the store are retried for a request with this deadline.
 fn store_deadline(deadline: Now) -> Now {
-    deadline.min(clock::now() + STORE_PATIENCE)
+    deadline.min(clock::now() + STORE_RETRY_TIMEOUT)
 }
 
 fn reply(status: StatusCode, body: Vec<u8>) -> Reply {
--- a/crates/jackdawpier_entry/src/configuration.rs
+++ b/crates/jackdawpier_entry/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force at this entry: the highest version that it has seen, never a lower.
+//! The configuration in force at this entry: the highest version that it has received.
 
 use std::{cell::RefCell, rc::Rc, time::Duration};
 
@@ -16,143 +16,145 @@
 };
 
 /// How long a watch waits for a change, which has to be in force within two seconds. Reading the whole
-/// twice a second instead took 18 kB a second of each entry's link with 30 routes.
-const WATCH_WAIT: Duration = Duration::from_millis(1000);
-/// The same where keys are asked for: the proofs that they need bring what the watch misses, and tell whether
+/// configuration twice a second instead would need 18 kB/s of each entry's link with 30 routes.
+const WATCH_TIMEOUT: Duration = Duration::from_millis(1000);
+/// The same if keys are required: the proofs for them also bring changes that the watch misses, and show whether
 /// the store answers.
-const PROVED_WATCH_WAIT: Duration = Duration::from_millis(5000);
-/// Whether the configuration has changed is asked after this long, whatever the watch hears.
+const WATCH_TIMEOUT_WITH_PROOFS: Duration = Duration::from_millis(5000);
+/// Interval of checks whether the configuration has changed, independent of the watch.
 const CHECK_INTERVAL: Duration = Duration::from_secs(10);
-/// A proof of the keys that is this young says as much as a check. Between two looks at the proof that the entries share
-/// it grows to two and a half seconds.
-const PROVED_LATELY: Duration = Duration::from_secs(3);
-/// Pause after the store didn't answer.
-const REPEAT_PAUSE: Duration = Duration::from_millis(250);
-/// The balancer is told that this entry is out of touch after this long without the store.
-const OUT_OF_TOUCH_AFTER: Duration = Duration::from_millis(1800);
+/// A proof that is not older than this replaces a check. Between two reads of the proof that entries share its
+/// age reaches two and a half seconds.
+const MAX_PROOF_AGE_FOR_CHECK: Duration = Duration::from_secs(3);
+/// Delay after a failed call to the store.
+const RETRY_DELAY: Duration = Duration::from_millis(250);
+/// After this long without an answer from the store the entry reports to the load balancer that it isn't ready.
+const STALE_AFTER: Duration = Duration::from_millis(1800);
 
 #[derive(Debug, Default)]
 struct State {
     current: Option<Rc<Configuration>>,
     revision: Revision,
-    heard_at: Option<Now>,
+    /// When the latest request was sent that the store answered.
+    answered_request_at: Option<Now>,
     proof: Proof,
-    /// Answers with the document that are on their way.
-    arrivals: ResponseProgress,
+    /// Progress of the answers that contain the configuration.
+    document_progress: ResponseProgress,
 }
 
 /// The configuration in force.
 #[derive(Debug, Clone, Default)]
 pub struct ActiveConfiguration {
     state: Rc<RefCell<State>>,
-    /// Somebody waits for a newer proof.
-    wanted: Rc<Notify>,
-    /// There is a newer proof.
-    proved: Rc<Notify>,
+    /// Notified when a newer proof is requested.
+    proof_request: Rc<Notify>,
+    /// Notified when there is a newer proof.
+    new_proof: Rc<Notify>,
 }
 
 impl ActiveConfiguration {
-    /// The configuration of an entry whose keys have to be proved that often; none for never.
+    /// Creates an empty configuration whose keys may be accepted for `valid_for` after a proof; none for no limit.
     pub fn new(valid_for: Option<Duration>) -> Self {
         let active = Self::default();
         active.state.borrow_mut().proof.valid_for = valid_for;
         active
     }
 
-    /// The configuration; none before the first has been read.
+    /// Returns the configuration; none before the first has been read.
     pub fn get(&self) -> Option<Rc<Configuration>> {
         self.state.borrow().current.clone()
     }
 
-    /// Revision of the store at which it was written.
+    /// Returns the revision of the store at which it was written.
     pub fn revision(&self) -> Revision {
         self.state.borrow().revision
     }
 
-    /// Whether the store has answered lately, so that the configuration is known to be current, or is answering.
+    /// Returns whether the store has answered recently or is answering, so that the configuration is current.
     pub fn is_current(&self, now: Now) -> bool {
         let state = self.state.borrow();
-        let is_fresh = |at: Now| now.saturating_sub(at) < OUT_OF_TOUCH_AFTER;
-        let last_sign = state.heard_at.max(state.arrivals.last_received_at());
-        state.current.is_some() && last_sign.is_some_and(is_fresh)
+        let is_fresh = |at: Now| now.saturating_sub(at) < STALE_AFTER;
+        let last_contact =
+            state.answered_request_at.max(state.document_progress.last_received_at());
+        state.current.is_some() && last_contact.is_some_and(is_fresh)
     }
 
-    /// Has answers with the document noted while they come.
-    pub(crate) fn set_progress(&self, arrivals: ResponseProgress) {
-        self.state.borrow_mut().arrivals = arrivals;
+    /// Sets where the progress of answers that contain the configuration is tracked.
+    pub(crate) fn set_progress(&self, progress: ResponseProgress) {
+        self.state.borrow_mut().document_progress = progress;
     }
 
-    /// Whether an answer with the document has begun to come and isn't whole yet.
+    /// Returns whether an answer that contains the configuration is being received.
     pub(crate) fn is_receiving(&self) -> bool {
-        self.state.borrow().arrivals.is_in_progress()
+        self.state.borrow().document_progress.is_in_progress()
     }
 
-    /// Whether the store has answered a question that was asked after `at`.
+    /// Returns whether the store has answered a request that was sent after `at`.
     pub fn has_store_answered_since(&self, at: Now) -> bool {
-        self.state.borrow().heard_at.is_some_and(|heard_at| heard_at > at)
+        self.state.borrow().answered_request_at.is_some_and(|asked_at| asked_at > at)
     }
 
-    /// The store has answered a question that was asked at `asked_at`.
+    /// Notes that the store has answered a request that was sent at `asked_at`.
     pub fn on_store_answer(&self, asked_at: Now) {
         let mut state = self.state.borrow_mut();
-        state.heard_at = state.heard_at.max(Some(asked_at));
+        state.answered_request_at = state.answered_request_at.max(Some(asked_at));
     }
 
-    /// Whether callers need keys.
+    /// Returns whether callers need keys.
     pub fn requires_keys(&self) -> bool {
         self.state.borrow().current.as_ref().is_some_and(|current| current.keys.is_some())
     }
 
-    /// How sure it is that no newer configuration stands.
+    /// Returns the latest proof that the configuration is the newest.
     pub fn proof(&self) -> Proof {
         self.state.borrow().proof
     }
 
-    /// How long ago the configuration was last known to be the newest; none before the first proof, and
-    /// where no keys are asked for.
+    /// Returns how long ago the configuration was last known to be the newest; none before the first proof, and
+    /// if no keys are required.
     pub fn proof_age(&self) -> Option<Duration> {
         self.proof().asked_at.filter(|_| self.requires_keys()).map(clock::since)
     }
 
-    /// Whether callers with a key that stands can be served.
+    /// Returns whether callers with a valid key can be served.
     pub fn can_verify_keys(&self, now: Now) -> bool {
         !self.requires_keys() || self.proof().is_valid(now)
     }
 
-    /// A question that left at `asked_at` has shown that the configuration in force was the newest.
+    /// Notes that a request sent at `asked_at` has shown that the configuration in force was the newest.
     pub(crate) fn on_proof(&self, asked_at: Now) {
         let last = self.proof().asked_at.unwrap_or_default();
         self.state.borrow_mut().proof.asked_at = Some(last.max(asked_at));
-        self.proved.notify_waiters();
+        self.new_proof.notify_waiters();
     }
 
-    /// Asks for a newer proof and waits for one.
+    /// Requests a newer proof and waits for it.
     pub(crate) async fn request_proof(&self) {
-        let proved = self.proved.notified();
-        self.wanted.notify_one();
-        proved.await;
+        let new_proof = self.new_proof.notified();
+        self.proof_request.notify_one();
+        new_proof.await;
     }
 
-    /// Waits until somebody asks for a newer proof.
+    /// Waits until a newer proof is requested.
     pub(crate) async fn proof_requested(&self) {
-        self.wanted.notified().await;
+        self.proof_request.notified().await;
     }
 
-    /// Takes over a version if it is higher than the one in force, and returns whether it is. The same
-    /// version may be written again; then its latest writing stands.
+    /// Adopts a version if it is higher than the one in force, and returns whether it is. If the same version
+    /// is written again, the latest write is adopted.
     pub fn adopt_if_newer(&self, configuration: Configuration, revision: Revision) -> bool {
         let mut state = self.state.borrow_mut();
         let known = state.current.as_ref().map(|current| current.version);
         let is_newer = known.is_none_or(|version| configuration.version > version);
-        let is_again = known == Some(configuration.version) && revision > state.revision;
-        if is_newer || is_again {
+        let is_rewritten = known == Some(configuration.version) && revision > state.revision;
+        if is_newer || is_rewritten {
             state.current = Some(Rc::new(configuration));
             state.revision = revision;
         }
         is_newer
     }
 
-    /// The route of a request: the longest prefix of its host that the path begins with.
+    /// Returns the route of a request: the one of its host with the longest prefix of the path.
     pub fn route(&self, host: &str, path: &str) -> Option<Route> {
         let current = self.get()?;
         let host = host.split(':').next().unwrap_or(host);
@@ -167,11 +169,11 @@
     }
 }
 
-/// Where the configuration has been followed to.
+/// Up to where changes of the configuration have been received.
 #[derive(Debug, Clone, Copy)]
 struct Position {
     revision: Revision,
-    /// When it was last made sure that nothing was missed; none if it has to be now.
+    /// When it was last verified that no change was missed; none if it has to be verified now.
     checked_at: Option<Now>,
 }
 
@@ -181,11 +183,11 @@
     }
 }
 
-/// Follows the configuration for as long as the process lives. It is read whole only where nothing less tells
-/// whether it has changed: it may be large, and each instance of hundreds reads it over one link of the store.
+/// Follows the configuration until it is cancelled. The whole configuration is read only if nothing smaller shows
+/// whether it has changed: it may be large, and hundreds of instances read it over one link of the store.
 pub async fn follow<P: Platform>(platform: P, active: ActiveConfiguration, events: Events) {
     active.set_progress(platform.arrivals());
-    let mut was_in_touch = false;
+    let mut was_current = false;
     let mut position = None;
     loop {
         let step = match position {
@@ -199,35 +201,37 @@
             Ok(reached) => position = Some(reached),
             Err(error) => {
                 position = after_failure(position, &error);
-                if was_in_touch && error != CallError::HistoryCompacted {
+                if was_current && error != CallError::HistoryCompacted {
                     let fields = json!({ "for": "configuration", "why": error.to_string() });
                     events.emit("store_missed", fields);
                 }
                 if error != CallError::HistoryCompacted {
-                    tokio::time::sleep(REPEAT_PAUSE).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
         }
         let is_current = active.is_current(clock::now());
-        if is_current != was_in_touch {
+        if is_current != was_current {
             let event = if is_current { "store_regained" } else { "store_lost" };
             events.emit(event, json!({ "revision": active.revision() }));
-            was_in_touch = is_current;
+            was_current = is_current;
         }
         if active.get().is_none() {
-            tokio::time::sleep(REPEAT_PAUSE).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 }
 
-/// Where to go on after a step has failed: a watch that failed is followed by a check, a check by a reading.
+/// Returns the position after a failed step: a failed watch is followed by a check, a failed check by a read.
 fn after_failure(position: Option<Position>, error: &CallError) -> Option<Position> {
     let was_watching = position.filter(Position::is_checked);
-    let is_known = *error != CallError::HistoryCompacted;
-    was_watching.filter(|_| is_known).map(|position| Position { checked_at: None, ..position })
+    let is_history_available = *error != CallError::HistoryCompacted;
+    was_watching
+        .filter(|_| is_history_available)
+        .map(|position| Position { checked_at: None, ..position })
 }
 
-/// Makes sure that nothing was missed, by what proves the keys if that was done lately.
+/// Verifies that no change was missed, by a recent proof if there is one.
 async fn check<P: Platform>(
     platform: &P,
     active: &ActiveConfiguration,
@@ -235,7 +239,8 @@
     from: Position,
 ) -> CallResult<Position> {
     let asked_at = clock::now();
-    let proved_at = active.proof().asked_at.filter(|at| clock::since(*at) < PROVED_LATELY);
+    let proved_at =
+        active.proof().asked_at.filter(|at| clock::since(*at) < MAX_PROOF_AGE_FOR_CHECK);
     if proved_at.is_none() {
         freshness::check_for_change(platform, active, events).await?;
     }
@@ -243,7 +248,7 @@
     Ok(Position { revision, checked_at: Some(proved_at.unwrap_or(asked_at)) })
 }
 
-/// Reads the configuration as it is.
+/// Reads the whole configuration.
 async fn read<P: Platform>(
     platform: &P,
     active: &ActiveConfiguration,
@@ -260,7 +265,7 @@
     Ok(Position { revision: listing.revision, checked_at: Some(read_at) })
 }
 
-/// Waits a while for a change.
+/// Waits for a change for a limited time.
 async fn watch<P: Platform>(
     platform: &P,
     active: &ActiveConfiguration,
@@ -269,27 +274,27 @@
 ) -> CallResult<Position> {
     let asked_at = clock::now();
     let key = platform.configuration_key();
-    let wait = if active.requires_keys() { PROVED_WATCH_WAIT } else { WATCH_WAIT };
-    // A proof may have brought what the watch hasn't told of yet.
+    let wait = if active.requires_keys() { WATCH_TIMEOUT_WITH_PROOFS } else { WATCH_TIMEOUT };
+    // A proof may have brought a change that the watch hasn't reported yet.
     let after = from.revision.max(active.revision());
-    let news = platform.watch(key, after, wait).await?;
+    let answer = platform.watch(key, after, wait).await?;
     let took = clock::since(asked_at);
-    // An answer without news left the store when the wait was over, and nothing had changed by then; one
-    // that came sooner was cut short and says no more than that the store was asked.
-    let is_waited_for = news.changes.is_empty() && took >= wait;
-    active.on_store_answer(if is_waited_for { asked_at + wait } else { asked_at });
-    if news.changes.is_empty() && !is_waited_for {
-        tokio::time::sleep(REPEAT_PAUSE).await;
+    // An empty answer after the whole wait shows that nothing had changed by its end. One that came earlier
+    // was cut short and shows only that the store answered the request.
+    let is_full_wait = answer.changes.is_empty() && took >= wait;
+    active.on_store_answer(if is_full_wait { asked_at + wait } else { asked_at });
+    if answer.changes.is_empty() && !is_full_wait {
+        tokio::time::sleep(RETRY_DELAY).await;
     }
-    for change in &news.changes {
+    for change in &answer.changes {
         if let Change::Put(item) = change {
             adopt_item(platform, active, events, item);
         }
     }
-    Ok(Position { revision: news.revision, ..from })
+    Ok(Position { revision: answer.revision, ..from })
 }
 
-/// Takes an item of the store over if it is a newer configuration.
+/// Adopts an item of the store if it is a newer configuration.
 pub(crate) fn adopt_item<P: Platform>(
     platform: &P,
     active: &ActiveConfiguration,
@@ -297,11 +302,11 @@
     item: &Item,
 ) {
     if item.key == platform.configuration_key() && item.revision != active.revision() {
-        take(platform, active, events, &item.value, item.revision);
+        adopt(platform, active, events, &item.value, item.revision);
     }
 }
 
-fn take<P: Platform>(
+fn adopt<P: Platform>(
     platform: &P,
     active: &ActiveConfiguration,
     events: &Events,
--- a/crates/jackdawpier_entry/src/job_query.rs
+++ b/crates/jackdawpier_entry/src/job_query.rs
@@ -1,6 +1,6 @@
-//! What a question for a job waited for, so that one that is late can be followed from the job's id.
+//! Timing of the queries for jobs, so that a slow query can be traced by the job's id.
 //!
-//! Most questions take milliseconds and leave no line; see `docs/OPERATIONS.md`.
+//! Most queries take milliseconds and aren't logged; see `docs/OPERATIONS.md`.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 
 use crate::{clock, events::Events, metrics::Latency, ports::CallError};
 
-/// A question that takes longer, or isn't answered, leaves a line: some fifty times what the store takes.
-const LATE: Duration = Duration::from_millis(300);
+/// A query that takes longer, or fails, is logged. About fifty times the latency of the store.
+const SLOW_QUERY: Duration = Duration::from_millis(300);
 
-/// Where the answer came from.
+/// Source of the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Source {
     /// The fleet that this entry owns.
@@ -22,44 +22,45 @@
     Store,
 }
 
-/// One question on its way.
+/// A query that is being answered.
 #[derive(Debug)]
 pub(crate) struct JobQuery {
     arrived_at: Now,
-    /// When its key was found to stand; none before.
-    admitted_at: Option<Now>,
+    /// When its key was verified; none before that.
+    authorized_at: Option<Now>,
     source: Source,
-    /// Tries to read the store that gave nothing.
+    /// Number of failed reads from the store.
     failures: u32,
-    /// What the last of them met.
+    /// The error of the last failed read.
     last_error: Option<CallError>,
 }
 
 impl JobQuery {
-    /// Follows a question that arrived at this time.
+    /// Tracks a query that arrived at this time.
     pub(crate) fn new(arrived_at: Now) -> Self {
         let source = Source::Memory;
-        Self { arrived_at, admitted_at: None, source, failures: 0, last_error: None }
+        Self { arrived_at, authorized_at: None, source, failures: 0, last_error: None }
     }
 
-    /// Its key stands.
-    pub(crate) fn admit(&mut self) {
-        self.admitted_at = Some(clock::now());
+    /// Notes that the key was verified.
+    pub(crate) fn on_authorized(&mut self) {
+        self.authorized_at = Some(clock::now());
     }
 
-    /// The store is asked.
-    pub(crate) fn asks_store(&mut self) {
+    /// Notes that the store is read.
+    pub(crate) fn on_store_access(&mut self) {
         self.source = Source::Store;
     }
 
-    /// The store gave no answer that can be used.
-    pub(crate) fn failed(&mut self, error: CallError) {
+    /// Notes a failed read from the store.
+    pub(crate) fn on_store_failure(&mut self, error: CallError) {
         self.failures += 1;
         self.last_error = Some(error);
     }
 
-    /// Notes the answer. `proof_age` is how old the configuration was that judged the key.
-    pub(crate) fn answered(
+    /// Records the latency, and logs the query if it was slow or failed. `proof_age` is the age of the proof with
+    /// which the key was verified.
+    pub(crate) fn log_answer(
         &self,
         events: &Events,
         job: &str,
@@ -68,17 +69,17 @@
     ) {
         let took = clock::since(self.arrived_at);
         events.metrics().observe(Latency::JobQuery, took);
-        if took < LATE && !status.is_server_error() {
+        if took < SLOW_QUERY && !status.is_server_error() {
             return;
         }
-        let key = self.admitted_at.map_or(took, |at| at.saturating_sub(self.arrived_at));
+        let key_time = self.authorized_at.map_or(took, |at| at.saturating_sub(self.arrived_at));
         let fields = json!({
             "job": job,
             "status": status.as_u16(),
             "source": format!("{:?}", self.source),
             "took_ms": millis(took),
-            "key_ms": millis(key),
-            "store_ms": millis(took.saturating_sub(key)),
+            "key_ms": millis(key_time),
+            "store_ms": millis(took.saturating_sub(key_time)),
             "failures": self.failures,
             "why": self.last_error.as_ref().map(ToString::to_string),
             "proof_age_ms": proof_age.map(millis),
--- a/crates/jackdawpier_entry/src/run.rs
+++ b/crates/jackdawpier_entry/src/run.rs
@@ -87,7 +87,7 @@
         let active = active.clone();
         move || connection_limits(&active)
     };
-    let answer = move |request| callers.clone().answer(request);
+    let answer = move |request| callers.clone().handle(request);
     let serving = http_server::serve_with_limits(
         settings.callers,
         connections.clone(),
--- a/crates/jackdawpier_entry/tests/support/entry.rs
+++ b/crates/jackdawpier_entry/tests/support/entry.rs
@@ -63,7 +63,7 @@
         let address = listener.local_addr().expect("it is bound");
         drop(listener);
         let (stop, stopping) = watch::channel(false);
-        let answer = move |request| callers.clone().answer(request);
+        let answer = move |request| callers.clone().handle(request);
         tokio::task::spawn_local(serve(address, answer, InFlight::default(), stopping));
         let is_known =
             || active.get().is_some() && (valid_for.is_none() || active.proof_age().is_some());
