--- a/crates/jackdawpier_entry/src/configuration.rs
+++ b/crates/jackdawpier_entry/src/configuration.rs
@@ -186,7 +186,7 @@
 /// Follows the configuration until it is cancelled. The whole configuration is read only if nothing smaller shows
 /// whether it has changed: it may be large, and hundreds of instances read it over one link of the store.
 pub async fn follow<P: Platform>(platform: P, active: ActiveConfiguration, events: Events) {
-    active.set_progress(platform.arrivals());
+    active.set_progress(platform.response_progress());
     let mut was_current = false;
     let mut position = None;
     loop {
--- a/crates/jackdawpier_entry/src/pending.rs
+++ b/crates/jackdawpier_entry/src/pending.rs
@@ -1,10 +1,10 @@
-//! How many jobs of a queue haven't begun, as any entry can tell.
+//! Counts of each queue's pending jobs, available at every entry.
 //!
-//! The owner knows and writes it down each second. While there is no owner, or none that reaches the
-//! store, the note grows old; then the entries count the jobs themselves. One of them does it for all: it
-//! claims the note, reads the jobs and writes a new one, and the others read that. A day's records have a
-//! megabyte, and where each of hundreds of entries read them, the store's link carried nothing else: no
-//! entry could take the fleet over, so that all went on counting. See `docs/design/questions.md`.
+//! The owner writes the counts to a note in the store each second. If there is no owner, or it can't reach the
+//! store, the note becomes stale and the entries count the jobs themselves. One of them counts for all: it claims
+//! the note, reads the jobs and writes a new note, which the others read. A day's records have a megabyte, and if
+//! each of hundreds of entries read them, they saturate the store's link, so that no entry can take over the
+//! fleet and all continue to count. See `docs/design/questions.md`.
 
 use std::{
     cell::{Cell, RefCell},
@@ -23,34 +23,33 @@
     ports::{CallError, CallResult, Item, Listing, Platform, Transaction, TransactionOutcome},
 };
 
-/// Callers may be told a count that is this old. Entries' times of day differ by little; where they jump by
-/// more, jobs are counted more often than needed.
-const FRESH_FOR: Duration = Duration::from_millis(2000);
-/// A count that was made for want of an owner's is made anew at this age, so that there is a fresh one always.
-const RENEWED_AFTER: Duration = Duration::from_millis(1000);
-/// A claim that is this old was given up by whoever made it: one list of the jobs takes no longer over the
-/// link of a small instance.
-const CLAIM_HOLDS: Duration = Duration::from_millis(3000);
-/// Pause before a count that failed is begun again.
-const REPEAT_PAUSE: Duration = Duration::from_millis(500);
-/// Pause before the note is read again while another entry counts.
-const LOOK_AGAIN: Duration = Duration::from_millis(150);
-/// A caller waits this long for a count; then it may come back.
-const PATIENCE: Duration = Duration::from_millis(600);
+/// Maximum age of counts in an answer. The entries' wall clocks differ by little; if they jump by more, jobs are
+/// counted more often than necessary.
+const MAX_AGE: Duration = Duration::from_millis(2000);
+/// Counts of an entry that isn't the owner are refreshed at this age, so that fresh ones are always available.
+const REFRESH_AGE: Duration = Duration::from_millis(1000);
+/// A claim expires after this time: listing the jobs takes no longer over the link of a small instance.
+const CLAIM_TTL: Duration = Duration::from_millis(3000);
+/// Delay before a failed count is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Interval between reads of the note while another entry counts.
+const POLL_INTERVAL: Duration = Duration::from_millis(150);
+/// Maximum time that a caller waits for a count.
+const COUNT_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// Jobs that haven't begun, by queue.
+/// Number of pending jobs by queue.
 pub type Counts = BTreeMap<QueueName, u64>;
 
-/// What the entries tell each other of the jobs that wait.
+/// The stored note with the counts.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 struct Note {
-    /// Time of day at which the counts held, in milliseconds since 1970.
+    /// Wall-clock time of the counts in milliseconds since 1970.
     at_ms: u64,
     counts: Counts,
-    /// The counts hold all jobs up to this revision, and nothing has begun since; none in an owner's note.
+    /// The counts include all jobs up to this revision, and none has started since; `None` in an owner's note.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     counted_to: Option<Revision>,
-    /// Time of day at which an entry set about counting anew.
+    /// Wall-clock time at which an entry began to count, in milliseconds since 1970.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     claimed_ms: Option<u64>,
 }
@@ -61,22 +60,22 @@
     }
 
     fn is_fresh(&self) -> bool {
-        is_within(self.at_ms, FRESH_FOR)
+        is_within(self.at_ms, MAX_AGE)
     }
 
-    /// Whether nobody but an entry without the fleet will write the next one, and it is time to.
-    fn is_aging(&self) -> bool {
-        self.counted_to.is_some() && !is_within(self.at_ms, RENEWED_AFTER)
+    /// Whether the note was written without an owner and is due for a refresh.
+    fn needs_refresh(&self) -> bool {
+        self.counted_to.is_some() && !is_within(self.at_ms, REFRESH_AGE)
     }
 
-    /// When the counts held, by this entry's clock.
-    fn held_at(&self) -> Now {
+    /// Returns the time of the counts by this entry's clock.
+    fn counted_at(&self) -> Now {
         let age_ms = clock::wall_ms().abs_diff(self.at_ms);
         clock::now().saturating_sub(Duration::from_millis(age_ms))
     }
 
     fn is_claimed(&self) -> bool {
-        self.claimed_ms.is_some_and(|at_ms| is_within(at_ms, CLAIM_HOLDS))
+        self.claimed_ms.is_some_and(|at_ms| is_within(at_ms, CLAIM_TTL))
     }
 
     fn encode(&self) -> Vec<u8> {
@@ -88,105 +87,105 @@
     clock::wall_ms().abs_diff(at_ms) < time.as_millis() as u64
 }
 
-/// The owner's note.
+/// Encodes the owner's note.
 pub(crate) fn encode(counts: &Counts) -> Vec<u8> {
     Note { at_ms: clock::wall_ms(), counts: counts.clone(), ..Note::default() }.encode()
 }
 
-/// What this entry has counted itself, or has waited for.
+/// The counts that this entry last made or read.
 #[derive(Debug, Default)]
-struct Own {
-    /// When the counts held.
-    counted: RefCell<Option<(Now, Counts)>>,
+struct CountCache {
+    /// The counts and their time.
+    latest: RefCell<Option<(Now, Counts)>>,
     is_counting: Cell<bool>,
 }
 
-impl Own {
+impl CountCache {
     fn recent(&self) -> Option<Counts> {
-        let counted = self.counted.borrow();
-        let (at, counts) = counted.as_ref()?;
-        (clock::since(*at) < FRESH_FOR).then(|| counts.clone())
+        let latest = self.latest.borrow();
+        let (at, counts) = latest.as_ref()?;
+        (clock::since(*at) < MAX_AGE).then(|| counts.clone())
     }
 
-    fn keep(&self, held_at: Now, counts: &Counts) {
-        self.counted.replace(Some((held_at, counts.clone())));
+    fn set(&self, counted_at: Now, counts: &Counts) {
+        self.latest.replace(Some((counted_at, counts.clone())));
     }
 }
 
-/// The counts, as this entry knows them.
+/// Counts pending jobs, sharing each count among this entry's callers and all entries.
 #[derive(Debug, Default)]
 pub struct PendingCounter {
-    own: Rc<Own>,
-    /// Held while somebody waits for a new note, so that the others wait for the same.
+    cache: Rc<CountCache>,
+    /// Locked while a caller waits for a new note, so that other callers wait for the same one.
     waiting: Mutex<()>,
 }
 
 impl PendingCounter {
-    /// Reads the note; if it is old, waits for one that this or another entry counts.
+    /// Returns the count from the note; if the note is stale, waits for a new one by this or another entry.
     ///
     /// # Errors
     ///
-    /// Where the store gives no answer, or there is no new count within [`PATIENCE`].
+    /// Fails if the store doesn't answer, or if there is no new count within [`COUNT_TIMEOUT`].
     pub async fn count<P: Platform>(&self, platform: &P, queue: &QueueName) -> CallResult<u64> {
         let of_queue = |counts: &Counts| counts.get(queue).copied().unwrap_or(0);
-        let held = platform.get(keys::PENDING).await?;
-        let note = Note::read(held.as_ref());
+        let stored = platform.get(keys::PENDING).await?;
+        let note = Note::read(stored.as_ref());
         if note.is_fresh() {
-            if note.is_aging() {
-                self.begin_count(platform, &note, held.as_ref());
+            if note.needs_refresh() {
+                self.start_count(platform, &note, stored.as_ref());
             }
             return Ok(of_queue(&note.counts));
         }
         let waiting = async {
             let _waiting = self.waiting.lock().await;
-            self.wait_for_count(platform, held).await
+            self.wait_for_count(platform, stored).await
         };
         let reason = "the jobs that wait are being counted".to_owned();
-        let counts = timeout(PATIENCE, waiting).await;
+        let counts = timeout(COUNT_TIMEOUT, waiting).await;
         counts.unwrap_or(Err(CallError::NotDone { reason })).map(|counts| of_queue(&counts))
     }
 
-    /// Sees to it that somebody counts, and waits for it. `held` is the note as it was found.
+    /// Starts a count unless an entry already counts, and waits for it. `stored` is the current note.
     async fn wait_for_count<P: Platform>(
         &self,
         platform: &P,
-        mut held: Option<Item>,
+        mut stored: Option<Item>,
     ) -> CallResult<Counts> {
         loop {
-            if let Some(counts) = self.own.recent() {
+            if let Some(counts) = self.cache.recent() {
                 return Ok(counts);
             }
-            let note = Note::read(held.as_ref());
+            let note = Note::read(stored.as_ref());
             if note.is_fresh() {
-                self.own.keep(note.held_at(), &note.counts);
+                self.cache.set(note.counted_at(), &note.counts);
                 return Ok(note.counts);
             }
-            self.begin_count(platform, &note, held.as_ref());
-            tokio::time::sleep(LOOK_AGAIN).await;
-            held = platform.get(keys::PENDING).await?;
+            self.start_count(platform, &note, stored.as_ref());
+            tokio::time::sleep(POLL_INTERVAL).await;
+            stored = platform.get(keys::PENDING).await?;
         }
     }
 
-    /// Counts in the background for all entries, unless this or another one does. The count goes on though the
-    /// caller that caused it may leave: others wait for it.
-    fn begin_count<P: Platform>(&self, platform: &P, note: &Note, held: Option<&Item>) {
-        if note.is_claimed() || self.own.is_counting.replace(true) {
+    /// Counts in the background for all entries, unless this or another entry already counts. The count continues
+    /// if its caller disconnects, since others wait for it.
+    fn start_count<P: Platform>(&self, platform: &P, note: &Note, stored: Option<&Item>) {
+        if note.is_claimed() || self.cache.is_counting.replace(true) {
             return;
         }
-        let (own, platform, note) = (self.own.clone(), platform.clone(), note.clone());
-        let revision = held.map_or(0, |item| item.revision);
+        let (cache, platform, note) = (self.cache.clone(), platform.clone(), note.clone());
+        let revision = stored.map_or(0, |item| item.revision);
         tokio::task::spawn_local(async move {
-            if count_for_all(&own, &platform, note, revision).await.is_err() {
-                tokio::time::sleep(REPEAT_PAUSE).await;
+            if count_for_all(&cache, &platform, note, revision).await.is_err() {
+                tokio::time::sleep(RETRY_DELAY).await;
             }
-            own.is_counting.set(false);
+            cache.is_counting.set(false);
         });
     }
 }
 
-/// Claims the note as it was at `revision`, counts, and writes a new one.
+/// Claims the note if it is still at `revision`, counts, and writes a new note.
 async fn count_for_all<P: Platform>(
-    own: &Own,
+    cache: &CountCache,
     platform: &P,
     last: Note,
     revision: Revision,
@@ -197,18 +196,18 @@
     let (claimed_at, counts) = if let Some(counted_to) = last.counted_to {
         (claimed_at, count_since(&intake, counted_to, last.counts))
     } else {
-        // A claim lasts for one list.
+        // A claim covers only one listing.
         let Some(claimed_at) = claim(platform, &last, claimed_at).await? else { return Ok(()) };
         (claimed_at, count_all(&intake, &platform.list(keys::RECORDS).await?))
     };
-    own.keep(asked_at, &counts);
+    cache.set(asked_at, &counts);
     let counted_to = Some(intake.revision);
-    // An owner that has written meanwhile knows better.
+    // An owner's note that was written meanwhile takes precedence.
     write(platform, &Note { at_ms, counts, counted_to, claimed_ms: None }, claimed_at).await?;
     Ok(())
 }
 
-/// Says that this entry counts, on the note as it was at `revision`; returns its new revision.
+/// Marks the note as claimed if it is still at `revision`; returns its new revision.
 async fn claim<P: Platform>(
     platform: &P,
     note: &Note,
@@ -217,7 +216,7 @@
     write(platform, &Note { claimed_ms: Some(clock::wall_ms()), ..note.clone() }, revision).await
 }
 
-/// Writes a note over the one of a revision; returns its own, or none if there is another by now.
+/// Replaces the note if it is still at `revision`; returns the new revision, or `None` if the note has changed.
 async fn write<P: Platform>(
     platform: &P,
     note: &Note,
@@ -231,37 +230,37 @@
     match platform.commit(&transaction).await {
         Ok(TransactionOutcome::Committed(revision)) => Ok(Some(revision)),
         Ok(TransactionOutcome::Conflict(_)) => Ok(None),
-        // The answer is lost: the note says whether the write was carried out.
+        // The answer is lost: the note shows whether the write took effect.
         Err(CallError::Unanswered { .. }) => {
-            let held = platform.get(keys::PENDING).await?;
-            let written = held.filter(|item| item.value == transaction.puts[0].1);
+            let stored = platform.get(keys::PENDING).await?;
+            let written = stored.filter(|item| item.value == transaction.puts[0].1);
             Ok(written.map(|item| item.revision))
         }
         Err(error) => Err(error),
     }
 }
 
-/// The queue of a job that was handed in; the rest of it isn't needed here.
+/// The queue of a submission; its other fields aren't needed here.
 #[derive(Deserialize)]
-struct Submitted {
+struct SubmittedQueue {
     queue: QueueName,
 }
 
-/// Those of the jobs that were handed in and not cancelled, with their ids and queues.
+/// Returns the ids and queues of the submitted jobs that aren't cancelled and match the filter.
 fn submitted(
     intake: &Listing,
-    is_meant: impl Fn(&Item) -> bool,
+    is_included: impl Fn(&Item) -> bool,
 ) -> impl Iterator<Item = (&str, QueueName)> {
     let ids = intake.items.iter().filter_map(|item| item.key.strip_prefix(keys::CANCELLATIONS));
     let cancelled: HashSet<&str> = ids.collect();
-    intake.items.iter().filter(move |item| is_meant(item)).filter_map(move |item| {
+    intake.items.iter().filter(move |item| is_included(item)).filter_map(move |item| {
         let job = item.key.strip_prefix(keys::SUBMISSIONS)?;
-        let submitted = serde_json::from_slice::<Submitted>(&item.value).ok()?;
+        let submitted = serde_json::from_slice::<SubmittedQueue>(&item.value).ok()?;
         (!cancelled.contains(job)).then_some((job, submitted.queue))
     })
 }
 
-/// Adds what has come after `counted_to` to earlier counts: nothing begins where nobody owns the fleet.
+/// Adds the jobs submitted after `counted_to` to previous counts: no job starts while no entry owns the fleet.
 fn count_since(intake: &Listing, counted_to: Revision, mut counts: Counts) -> Counts {
     let is_new = |item: &Item| item.revision > counted_to && item.revision <= intake.revision;
     for (_, queue) in submitted(intake, is_new) {
--- a/crates/jackdawpier_entry/src/ports.rs
+++ b/crates/jackdawpier_entry/src/ports.rs
@@ -1,7 +1,7 @@
-//! What an entry needs from the outside, as small traits that an adapter implements.
+//! Traits for everything external that an entry uses; an adapter for the platform implements them.
 //!
-//! Each outcome says whether something may have been done: decisions depend on that alone, not on
-//! how the other side words it.
+//! Each outcome states whether the request may have taken effect. Decisions depend only on that, not on the
+//! other side's texts.
 
 use std::{future::Future, sync::Arc, time::Duration};
 
@@ -17,29 +17,29 @@
 
 use crate::{access::ClientKeys, response_progress::ResponseProgress};
 
-/// Why a call gave no usable answer.
+/// Why a call has no usable answer.
 #[derive(Debug, Clone, Display, Error, PartialEq, Eq)]
 pub enum CallError {
-    /// Nothing was sent, or the other side says that nothing was done.
+    /// The request wasn't sent, or the other side reports that it took no effect.
     #[display("not done: {reason}")]
     NotDone {
-        /// What was seen.
+        /// Why it took no effect.
         reason: String,
     },
-    /// No answer: it may have been done, or may yet be.
+    /// No answer: the request may have taken effect, or may do so later.
     #[display("no answer: {reason}")]
     Unanswered {
-        /// What was seen.
+        /// Why there is no answer.
         reason: String,
     },
-    /// The history that a watch needs is gone: list again.
-    #[display("the history asked for is gone")]
+    /// The store no longer has the changes that the watch asks for: list again.
+    #[display("the requested revision is compacted")]
     HistoryCompacted,
     /// The lease has ended.
     #[display("the lease has ended")]
     LeaseEnded,
-    /// The executor obeys a later owner.
-    #[display("a later owner has spoken")]
+    /// The executor has accepted a newer fencing token.
+    #[display("fenced by a later owner")]
     Fenced,
 }
 
@@ -49,71 +49,71 @@
 /// Id of a lease of the store.
 pub type LeaseId = u64;
 
-/// One item of the store.
+/// An item of the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Item {
-    /// Its key.
+    /// Key of the item.
     pub key: String,
-    /// Its value.
+    /// Value of the item.
     pub value: Vec<u8>,
-    /// Revision of its last change.
+    /// Revision of the item's last change.
     pub revision: Revision,
 }
 
-/// Items under a prefix.
+/// The items under a prefix.
 #[derive(Debug, Clone, Default)]
 pub struct Listing {
     /// The items.
     pub items: Vec<Item>,
-    /// The store's revision before the first page was read: a watch from here misses nothing.
+    /// The store's revision before the first page was read: a watch from this revision misses no change.
     pub revision: Revision,
 }
 
-/// One change that a watch reports.
+/// A change that a watch reports.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
-    /// An item as it was written.
+    /// The item was written.
     Put(Item),
     /// The key was removed.
     Removed(String),
 }
 
-/// What a watch has seen.
+/// The answer of a watch.
 #[derive(Debug, Clone, Default)]
 pub struct Changes {
     /// The changes, oldest first.
     pub changes: Vec<Change>,
-    /// Where to go on.
+    /// Revision from which to continue.
     pub revision: Revision,
 }
 
-/// A write that takes effect whole or not at all.
+/// An atomic conditional write.
 #[derive(Debug, Clone, Default)]
 pub struct Transaction {
-    /// Keys with the revisions that they must have; 0 means that the key must not exist.
+    /// Keys with their required revisions; 0 means that the key must not exist.
     pub expect: Vec<(String, Revision)>,
-    /// Keys with their new values and the lease that they end with, if any.
+    /// Keys with their new values and the lease that they are attached to, if any.
     pub puts: Vec<(String, Vec<u8>, Option<LeaseId>)>,
-    /// Keys to be removed.
+    /// Keys to remove.
     pub removes: Vec<String>,
 }
 
-/// How a transaction ended.
+/// The outcome of a transaction.
 #[derive(Debug, Clone)]
 pub enum TransactionOutcome {
     /// It took effect at this revision.
     Committed(Revision),
-    /// A condition didn't hold; the expected keys as they are now.
+    /// A condition failed. Contains the current items of the expected keys.
     Conflict(Vec<Item>),
 }
 
-/// The store.
+/// The key-value store.
 pub trait Store {
-    /// Answers with the operators' document that are on their way.
-    fn arrivals(&self) -> ResponseProgress;
-    /// Time that values of so many bytes take to leave.
+    /// Tracks answers with the operators' document that are being received.
+    fn response_progress(&self) -> ResponseProgress;
+    /// Returns the time that values of this size take to send.
     fn sending_time(&self, bytes: usize) -> Duration;
-    /// Reads one item, not a stale one.
+    /// Reads the newest state of an item.
     fn get(&self, key: &str) -> impl Future<Output = CallResult<Option<Item>>>;
     /// Reads all items under a prefix, page by page.
     fn list(&self, prefix: &str) -> impl Future<Output = CallResult<Listing>>;
@@ -124,12 +124,12 @@
         after: Revision,
         wait: Duration,
     ) -> impl Future<Output = CallResult<Changes>>;
-    /// Writes under a condition.
+    /// Commits a transaction.
     fn commit(
         &self,
         transaction: &Transaction,
     ) -> impl Future<Output = CallResult<TransactionOutcome>>;
-    /// Asks for a lease.
+    /// Creates a lease.
     fn grant_lease(&self, ttl: Duration) -> impl Future<Output = CallResult<LeaseId>>;
     /// Renews a lease.
     fn renew_lease(&self, lease: LeaseId) -> impl Future<Output = CallResult<()>>;
@@ -137,12 +137,12 @@
     fn end_lease(&self, lease: LeaseId) -> impl Future<Output = CallResult<()>>;
 }
 
-/// Which executor an order is meant for, and in whose name.
+/// The executor that an order is sent to, and the sender's fencing token.
 #[derive(Debug, Clone)]
 pub struct OrderTarget {
-    /// The executor.
+    /// Id of the executor.
     pub executor: ExecutorId,
-    /// Its network address.
+    /// Network address of the executor.
     pub address: Arc<str>,
     /// Fencing token of the owner.
     pub fence: u64,
@@ -151,28 +151,28 @@
 /// An order to start a task.
 #[derive(Debug, Clone)]
 pub struct StartOrder {
-    /// The task.
+    /// The task to start.
     pub task: TaskKey,
-    /// Number of the start.
+    /// Number of the run.
     pub run: RunNumber,
-    /// What the job's caller gave for its tasks.
+    /// The job's payload for its tasks.
     pub payload: Arc<str>,
-    /// The lease by the executor's clock.
+    /// End of the lease by the executor's clock.
     pub lease_until: Duration,
-    /// Checkpoint to go on from; empty if there is none.
+    /// Checkpoint to resume from; empty if there is none.
     pub checkpoint: Box<str>,
-    /// Permission of the placement advisor.
+    /// The placement advisor's ticket.
     pub ticket: Option<Arc<str>>,
 }
 
-/// A question to an executor what runs, which renews its lease.
+/// A request that renews an executor's lease and asks for its running and ended tasks.
 #[derive(Debug, Clone, Copy)]
 pub struct HoldRequest {
-    /// Ends up to this position may be forgotten.
+    /// The executor may discard ends up to this sequence number.
     pub acknowledged: u64,
-    /// The lease by the executor's clock.
+    /// End of the lease by the executor's clock.
     pub lease_until: Option<Duration>,
-    /// How long it may wait for an end before it answers.
+    /// Maximum time to wait for an end before answering.
     pub wait: Duration,
 }
 
@@ -188,7 +188,7 @@
         task: &TaskKey,
         run: RunNumber,
     ) -> impl Future<Output = StopOutcome>;
-    /// Sets the pace of a task and returns whether it was taken.
+    /// Sets the pace of a task and returns whether the executor accepted it.
     fn pace(
         &self,
         target: &OrderTarget,
@@ -196,19 +196,19 @@
         run: RunNumber,
         percent: u32,
     ) -> impl Future<Output = bool>;
-    /// Renews the lease and asks what runs and what has ended.
+    /// Renews the lease and returns the running and ended tasks.
     fn hold(
         &self,
         target: &OrderTarget,
-        question: &HoldRequest,
+        request: &HoldRequest,
     ) -> impl Future<Output = CallResult<HoldReport>>;
 }
 
 /// Control of machines.
 pub trait MachineControl {
-    /// All machines.
+    /// Lists all machines.
     fn machines(&self) -> impl Future<Output = CallResult<Vec<MachineInfo>>>;
-    /// Orders something about a machine, in the name of `holder`.
+    /// Sends a machine order on behalf of `holder`.
     fn send_order(
         &self,
         order: &MachineOrder,
@@ -217,18 +217,18 @@
     ) -> impl Future<Output = MachineOrderOutcome>;
 }
 
-/// The executors that may run a step, with their tickets.
+/// The placement advisor's answer.
 #[derive(Debug, Clone)]
 pub struct Approval {
-    /// Executors and tickets.
+    /// The executors that may run the step, with their tickets.
     pub approved: Vec<(ExecutorId, Arc<str>)>,
-    /// How long the tickets are valid.
+    /// Validity of the tickets.
     pub valid_for: Duration,
 }
 
 /// The placement advisor.
 pub trait Advisor {
-    /// Asks which of some executors may run the step of a task.
+    /// Returns which of these executors may run the step of a task.
     fn advise(
         &self,
         task: &TaskKey,
@@ -236,34 +236,34 @@
     ) -> impl Future<Output = CallResult<Approval>>;
 }
 
-/// One way from callers to a queue.
+/// A route from callers' requests to a queue.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// The host that callers name.
+    /// Host of the request.
     pub host: String,
-    /// What the path begins with.
+    /// Prefix of the request's path.
     pub prefix: String,
     /// The queue.
     pub queue: Queue,
-    /// Callers need no key.
+    /// Whether callers need no key.
     pub is_public: bool,
 }
 
-/// Bounds on what callers send.
+/// Limits on callers' requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest body in bytes.
+    /// Maximum size of a body in bytes.
     pub body_bytes: usize,
-    /// Time for the head of a request to be whole after its first byte.
+    /// Maximum time from the first byte of a request to its complete head.
     pub header_timeout: Duration,
-    /// Time for which a connection may be idle.
+    /// Maximum idle time of a connection.
     pub idle_timeout: Duration,
 }
 
 /// A version of the configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Configuration {
-    /// Its version, which only rises.
+    /// Version number, which only increases.
     pub version: u64,
     /// The routes.
     pub routes: Vec<Route>,
@@ -271,53 +271,53 @@
     pub services: Vec<Service>,
     /// The client accounts.
     pub accounts: Vec<Account>,
-    /// The keys by which callers show whose they are; none where nobody needs one.
+    /// The keys that authenticate callers; `None` if callers need no key.
     pub keys: Option<ClientKeys>,
-    /// Bounds on what callers send.
+    /// Limits on callers' requests and connections.
     pub limits: CallerLimits,
 }
 
-/// A job or a document that can't be read. The text says where and why.
+/// A job or a document that can't be parsed.
 #[derive(Debug, Display, Error)]
 #[display("{reason}")]
 pub struct Malformed {
-    /// What is wrong.
+    /// Where and why parsing failed.
     pub reason: String,
 }
 
-/// Formats of what callers and operators send and read, and the places where operators write.
+/// Formats of what callers and operators send and read, and the store's keys that others write.
 pub trait Formats {
-    /// Key of the configuration.
+    /// Returns the key of the configuration.
     fn configuration_key(&self) -> &'static str;
-    /// Prefix of waves of maintenance.
+    /// Returns the key prefix of maintenance waves.
     fn wave_prefix(&self) -> &'static str;
-    /// Prefix of the executors' own entries.
+    /// Returns the key prefix of the executors' registrations.
     fn executor_prefix(&self) -> &'static str;
-    /// Key for the state of a wave, and its text.
+    /// Returns the key and the encoded value of a wave's state.
     fn encode_wave_status(&self, state: &WaveState) -> (String, Vec<u8>);
-    /// Reads a configuration.
+    /// Parses a configuration.
     fn read_configuration(&self, value: &[u8]) -> Result<Configuration, Malformed>;
-    /// Reads a wave.
+    /// Parses a maintenance wave.
     fn read_wave(&self, value: &[u8]) -> Result<Wave, Malformed>;
-    /// Reads an executor's entry.
+    /// Parses an executor's registration.
     fn read_executor(&self, key: &str, value: &[u8]) -> Result<ExecutorInfo, Malformed>;
-    /// Reads a job as its caller sent it.
+    /// Parses a job from a caller's request.
     fn read_job(&self, body: &[u8]) -> Result<JobSpec, Malformed>;
-    /// Whether a text can be the id of a job.
+    /// Whether a text is a valid job id.
     fn is_job_id(&self, text: &str) -> bool;
-    /// The answer to a question for a job.
+    /// Encodes the answer to a query for a job.
     fn encode_job_view(&self, view: JobView) -> Vec<u8>;
-    /// The answer to a question for a queue.
+    /// Encodes the answer to a query for a queue's pending jobs.
     fn encode_pending_count(&self, count: u64) -> Vec<u8>;
-    /// An answer that says what went wrong.
+    /// Encodes an error answer.
     fn encode_error(&self, text: &str) -> Vec<u8>;
-    /// Name of the header with the time in milliseconds for which a caller waits.
+    /// Returns the name of the header with the caller's deadline in milliseconds.
     fn deadline_header(&self) -> &'static str;
-    /// Name of the header with a caller's key.
+    /// Returns the name of the header with the caller's key.
     fn key_header(&self) -> &'static str;
 }
 
-/// All that an entry needs from the outside.
+/// Everything external that an entry uses.
 pub trait Platform:
     Store + ExecutorControl + MachineControl + Advisor + Formats + Clone + 'static
 {
--- a/crates/jackdawpier_entry/tests/support/fake.rs
+++ b/crates/jackdawpier_entry/tests/support/fake.rs
@@ -313,7 +313,7 @@
 }
 
 impl Store for Fake {
-    fn arrivals(&self) -> ResponseProgress {
+    fn response_progress(&self) -> ResponseProgress {
         ResponseProgress::default()
     }
 
