--- a/crates/jackdawpier_entry/src/run.rs
+++ b/crates/jackdawpier_entry/src/run.rs
@@ -1,4 +1,4 @@
-//! The life of an entry process: start, reload, stop.
+//! Start, reload and shutdown of an entry process.
 
 use std::{io, rc::Rc, time::Duration};
 
@@ -28,16 +28,16 @@
     speed::{self, MachineSpeed},
 };
 
-/// After a request to stop the balancer still sends connections until it has missed two answers of
-/// the ready port, a second apart.
+/// Time for which the balancer still sends connections after a stop request: until two checks of the ready port, a
+/// second apart, have failed.
 const BALANCER_LAG: Duration = Duration::from_millis(2500);
-/// The process ends this long before it would be killed.
-const END_MARGIN: Duration = Duration::from_millis(800);
-/// How often a stopping process looks whether it is done.
-const STOP_LOOK: Duration = Duration::from_millis(50);
+/// The process exits this long before it would be killed.
+const KILL_MARGIN: Duration = Duration::from_millis(800);
+/// Interval between checks for requests in flight during shutdown.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs an entry until it is told to stop. `reload` is called when the settings may have changed
-/// and returns what was found, for the log.
+/// Runs an entry until it is told to stop. `reload` is called when the settings may have changed, and returns its
+/// result for the log.
 pub async fn run<P: Platform>(
     platform: P,
     settings: EntrySettings,
@@ -125,34 +125,34 @@
     wait_for_stop(&events, reload).await?;
     events.emit("stopping", json!({ "in_flight": in_flight.count() }));
     let asked_at = clock::now();
-    // Whoever sees that it is stopping finds it ended for new work.
+    // Tells the servers to stop before the ownership is released.
     let _ = stop.send(true);
     owning.abort();
     cell.release(&platform).await;
-    let end_by = asked_at + settings.shutdown_grace.saturating_sub(END_MARGIN);
+    let end_by = asked_at + settings.shutdown_grace.saturating_sub(KILL_MARGIN);
     let report = || events.emit("stopped", json!({ "in_flight": in_flight.count() }));
     drain(&in_flight, asked_at + BALANCER_LAG, end_by, report).await;
     connections.close(end_by).await;
     Ok(())
 }
 
-/// Limits of the callers' port by the configuration in force.
+/// Returns the limits of the callers' port from the configuration in force.
 fn connection_limits(active: &ActiveConfiguration) -> ConnectionLimits {
-    let usual = ConnectionLimits::default();
-    active.get().map_or(usual, |configuration| ConnectionLimits {
+    let defaults = ConnectionLimits::default();
+    active.get().map_or(defaults, |configuration| ConnectionLimits {
         header_timeout: configuration.limits.header_timeout,
         idle_timeout: configuration.limits.idle_timeout,
-        ..usual
+        ..defaults
     })
 }
 
-/// Lets requests in flight end, those too that come on open connections while `report` is written. Nothing
-/// ends before `earliest`, nor after `end_by`.
+/// Waits for requests in flight, including requests that arrive on open connections while `report` is written.
+/// Returns no earlier than `earliest`, and stops waiting at `end_by`.
 pub async fn drain(in_flight: &InFlight, earliest: Now, end_by: Now, report: impl FnOnce()) {
     wait_until_idle(in_flight, earliest, end_by).await;
     report();
-    // Gives the log's thread time to write its last lines.
-    tokio::time::sleep(STOP_LOOK * 2).await;
+    // Gives the log thread time to write its last lines.
+    tokio::time::sleep(DRAIN_CHECK_INTERVAL * 2).await;
     wait_until_idle(in_flight, earliest, end_by).await;
 }
 
@@ -163,7 +163,7 @@
         if is_idle || now >= end_by {
             return;
         }
-        tokio::time::sleep(STOP_LOOK).await;
+        tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
     }
 }
 
--- a/crates/jackdawpier_entry/src/shared_proof.rs
+++ b/crates/jackdawpier_entry/src/shared_proof.rs
@@ -1,9 +1,10 @@
-//! One entry's proof that the operators' document is unchanged, for all entries.
+//! A shared proof that the operators' document is unchanged: one entry writes it, all entries read it.
 //!
-//! A note in the store says which document stood when it was written, and it is written only under the condition that
-//! the document does. An entry that finds the note changed between two of its readings knows that it was written after
-//! the first of them had left, so that the document stood then. It needs no common clock, no list of entries and no
-//! transfer of the document, and a write that is carried out late proves as much as any. See `docs/design/accounts.md`.
+//! A note in the store names the revision of the document, and is written only under the condition that the document
+//! is at this revision. If the note has changed between two reads of an entry, it was written after the first read was
+//! sent, so the document was at this revision at some time after that. This needs no common clock, no list of entries
+//! and no transfer of the document, and a write that takes effect late is as good a proof as any. See
+//! `docs/design/accounts.md`.
 
 use jackdawpier_kernel::{Now, ids::Revision};
 use serde::{Deserialize, Serialize};
@@ -13,55 +14,55 @@
     ports::{CallResult, Item, Platform, Transaction, TransactionOutcome},
 };
 
-/// What the note says.
+/// The stored note.
 #[derive(Debug, Serialize, Deserialize)]
 struct Note {
-    /// Revision of the operators' document that stood.
+    /// Revision of the operators' document when the note was written.
     document: Revision,
 }
 
-/// What a reading of the note shows.
+/// What a read of the note proves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reading {
-    /// Nothing: it is the first, or the note can't be read.
+    /// Nothing: it is the first read, or the note can't be read.
     Inconclusive,
-    /// The note hasn't been written since the last reading left.
+    /// The note hasn't changed since the previous read.
     Unchanged,
-    /// The document of this revision stood after `at`.
+    /// The document was at this revision at some time after `at`.
     Confirmed {
         /// Revision of the document.
         document: Revision,
-        /// When the last reading left.
+        /// When the previous read was sent.
         at: Now,
     },
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Seen {
-    /// Revision of the note; 0 where there was none.
+struct LastRead {
+    /// Revision of the note; 0 if there was none.
     revision: Revision,
-    /// When the question left.
+    /// When the read was sent.
     asked_at: Now,
 }
 
-/// The note as one entry has seen it.
+/// Tracks one entry's reads and writes of the note.
 #[derive(Debug, Default)]
 pub struct SharedProof {
-    seen: Option<Seen>,
-    /// Revision of this entry's last writing.
-    own: Option<Revision>,
+    last_read: Option<LastRead>,
+    /// Revision of this entry's last write.
+    last_written: Option<Revision>,
 }
 
 impl SharedProof {
-    /// Takes in a reading that left at `asked_at`.
+    /// Records a read that was sent at `asked_at`, and returns what it proves.
     pub fn on_read(&mut self, asked_at: Now, item: Option<&Item>) -> Reading {
         let revision = item.map_or(0, |item| item.revision);
-        let last = self.seen.unwrap_or(Seen { revision: 0, asked_at });
+        let last = self.last_read.unwrap_or(LastRead { revision: 0, asked_at });
         if revision < last.revision {
-            // Another store, or an old answer; it must not make the next reading look like news.
+            // Another store or a delayed answer. Recording it would make the next read look like a change.
             return Reading::Inconclusive;
         }
-        let is_first = self.seen.replace(Seen { revision, asked_at }).is_none();
+        let is_first = self.last_read.replace(LastRead { revision, asked_at }).is_none();
         if is_first {
             return Reading::Inconclusive;
         }
@@ -75,15 +76,15 @@
         })
     }
 
-    /// Notes that this entry's write, which left at `asked_at`, was carried out.
+    /// Records this entry's successful write, which was sent at `asked_at`.
     pub fn on_written(&mut self, asked_at: Now, revision: Revision) {
-        self.seen = Some(Seen { revision, asked_at });
-        self.own = Some(revision);
+        self.last_read = Some(LastRead { revision, asked_at });
+        self.last_written = Some(revision);
     }
 
-    /// Whether the note was last found as this entry had written it: then it goes on writing, and the others needn't.
+    /// Whether this entry wrote the note that it last read. This entry then continues to write, and others needn't.
     pub fn is_last_writer(&self) -> bool {
-        self.own.is_some() && self.own == self.seen.map(|seen| seen.revision)
+        self.last_written.is_some() && self.last_written == self.last_read.map(|last| last.revision)
     }
 }
 
@@ -92,8 +93,8 @@
     platform.get(keys::PROOF).await
 }
 
-/// Writes the note under the condition that the document of a revision stands. It isn't a condition that the note is
-/// as it was found: whoever writes last says the same, and a conflict would bring the whole document.
+/// Writes the note under the condition that the document is at this revision. The note itself may have changed:
+/// concurrent writers write the same, and the answer to a conflict would contain the whole document.
 pub(crate) async fn write_note<P: Platform>(
     platform: &P,
     document: Revision,
--- a/crates/jackdawpier_entry/src/watched_stream.rs
+++ b/crates/jackdawpier_entry/src/watched_stream.rs
@@ -1,4 +1,4 @@
-//! A caller's stream that tells what its connection waits for, and ends when it is told to.
+//! A caller's stream that reports to its [`Connection`] what it waits for, and closes on the connection's request.
 
 use std::{
     io,
@@ -15,7 +15,7 @@
 
 use crate::connections::{Close, Connection};
 
-/// Whether something can be read or accepted at once, also if the runtime hasn't heard of it yet.
+/// Whether something can be read or accepted at once, even if the runtime hasn't been notified yet.
 pub(crate) fn is_readable(socket: &impl AsFd) -> bool {
     let mut sockets = [PollFd::new(socket.as_fd(), PollFlags::POLLIN)];
     poll(&mut sockets, PollTimeout::ZERO).is_ok_and(|count| count > 0)
@@ -36,8 +36,8 @@
         Pin::new(&mut self.stream)
     }
 
-    /// Passes the outcome of a write on, or breaks off where the peer takes too long.
-    fn wrote(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+    /// Returns the result of a write, or aborts the connection if the peer takes too long to read.
+    fn check_write(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if written.is_pending() && self.connection.wait_for_peer() {
             self.connection.close();
             return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
@@ -47,8 +47,8 @@
 }
 
 impl Read for WatchedStream {
-    /// A connection that is to end in order reads the end of its stream, as if its peer had closed it;
-    /// what has arrived comes first.
+    /// Reads the end of the stream if the connection is to close in order, as if the peer had closed it. Received bytes
+    /// are read first.
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -62,7 +62,7 @@
             return Poll::Pending;
         }
         if is_readable(self.stream.inner()) {
-            // The runtime will hear of it and wake this task.
+            // The runtime will be notified and wake this task.
             self.connection.go_on();
             return Poll::Pending;
         }
@@ -80,7 +80,7 @@
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
         let written = self.stream().poll_write(context, bytes);
-        self.wrote(written)
+        self.check_write(written)
     }
 
     fn poll_write_vectored(
@@ -89,14 +89,14 @@
         slices: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let written = self.stream().poll_write_vectored(context, slices);
-        self.wrote(written)
+        self.check_write(written)
     }
 
     fn is_write_vectored(&self) -> bool {
         self.stream.is_write_vectored()
     }
 
-    /// Is called when nothing is left to be written.
+    /// Called when everything has been written.
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         ready!(self.stream().poll_flush(context))?;
         self.connection.flushed();
