--- a/crates/jackdawpier_standin/src/main.rs
+++ b/crates/jackdawpier_standin/src/main.rs
@@ -219,7 +219,7 @@
             .map(|()| ExitCode::SUCCESS)
         }
         Command::Worker(backend) => block_on(worker::run(backend.listen, |address| {
-            backend.register(InstanceRole::Worker, address)
+            backend.register(InstanceRole::Worker, address);
         }))
         .map(|()| ExitCode::SUCCESS),
         Command::Load(args) => Ok(run_load(&args)),
