--- a/crates/jackdawpier_entry/tests/client_accounts.rs
+++ b/crates/jackdawpier_entry/tests/client_accounts.rs
@@ -40,7 +40,7 @@
         let entry = start().await;
         for method in ["POST", "GET", "DELETE"] {
             assert_eq!(entry.status(method, "/a/job", None).await, 401);
-            let answer = entry.ask(method, "/a/job", Some("nobodys-key")).await;
+            let answer = entry.request(method, "/a/job", Some("nobodys-key")).await;
             assert!(answer.starts_with("HTTP/1.1 401"), "{answer}");
             assert!(!answer.contains("nobodys-key"), "{answer}");
         }
@@ -75,7 +75,7 @@
         entry.fake.put(CONFIGURATION, b"2 baker-key:bakery");
         tokio::time::sleep(HOLDS_FOR).await;
         for key in ["baker-key", "shop-key"] {
-            let answer = entry.ask("POST", "/a/job", Some(key)).await;
+            let answer = entry.request("POST", "/a/job", Some(key)).await;
             assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
             assert!(answer.to_ascii_lowercase().contains("retry-after"), "{answer}");
         }
--- a/crates/jackdawpier_entry/tests/ended_jobs.rs
+++ b/crates/jackdawpier_entry/tests/ended_jobs.rs
@@ -1,4 +1,4 @@
-//! A job that is over leaves its record and nothing else, and stays the same job.
+//! An ended job leaves only its record, and repeating its submission doesn't run it again.
 
 mod support;
 
@@ -16,30 +16,30 @@
     intake.submit("job".into(), &submission(), deadline).await
 }
 
-async fn run_to_the_end(fake: &Fake, intake: &Intake) {
+async fn run_until_ended(fake: &Fake, intake: &Intake) {
     assert_eq!(submit(intake).await, Acceptance::Accepted);
     assert!(wait_until(|| outcome(fake, "job").is_some()).await);
 }
 
 #[test]
-fn nothing_left() {
+fn submission_removed() {
     run(async {
         let fake = Fake::default();
         let intake = start_intake(&fake);
         let (_cell, _owning) = start_owner(&fake, "a");
-        run_to_the_end(&fake, &intake).await;
+        run_until_ended(&fake, &intake).await;
         assert!(fake.value(&keys::submission("job")).is_none());
     });
 }
 
-/// A caller that repeats itself after the end gets the same answer, and nothing runs again.
+/// A submission that is repeated after the job's end gets the same answer, and no task runs again.
 #[test]
 fn repeated_submission() {
     run(async {
         let fake = Fake::default();
         let intake = start_intake(&fake);
         let (_cell, _owning) = start_owner(&fake, "a");
-        run_to_the_end(&fake, &intake).await;
+        run_until_ended(&fake, &intake).await;
         let starts = fake.starts().len();
         assert_eq!(submit(&intake).await, Acceptance::Accepted);
         tokio::time::sleep(Duration::from_millis(300)).await;
@@ -48,14 +48,14 @@
     });
 }
 
-/// The next owner tells the outcome from the record alone.
+/// The next owner knows the outcome from the record alone.
 #[test]
 fn later_owner() {
     run(async {
         let fake = Fake::default();
         let intake = start_intake(&fake);
         let (first, owning) = start_owner(&fake, "a");
-        run_to_the_end(&fake, &intake).await;
+        run_until_ended(&fake, &intake).await;
         owning.abort();
         first.release(&fake).await;
         let (second, _owning) = start_owner(&fake, "b");
@@ -64,10 +64,10 @@
     });
 }
 
-/// The store held the end already, so that other entries told of it, while the owner went on saying that the job
-/// runs until the answer to its write came.
+/// Guards against an owner that answers that a job runs while its end is already stored and other entries report it,
+/// because the answer to the owner's write is still in flight.
 #[test]
-fn end_on_its_way() {
+fn end_being_written() {
     run(async {
         let fake = Fake::default();
         let intake = start_intake(&fake);
@@ -77,12 +77,12 @@
         let entry = Entry::start_with_owner(&fake, None, cell).await;
         fake.set_delay(Duration::from_millis(300));
         assert!(wait_until(|| outcome_of(&fake) == Some(JobOutcome::Completed)).await);
-        let answer = entry.ask("GET", "/a/job", None).await;
+        let answer = entry.request("GET", "/a/job", None).await;
         assert!(answer.contains("Over(Completed)"), "{answer}");
     });
 }
 
-/// The durable outcome of the job, if there is a record of it yet.
+/// Returns the durable outcome of the job, if there is a record of it.
 fn outcome_of(fake: &Fake) -> Option<JobOutcome> {
     fake.value(&keys::record("job")).and_then(|_| outcome(fake, "job"))
 }
--- a/crates/jackdawpier_entry/tests/key_proof.rs
+++ b/crates/jackdawpier_entry/tests/key_proof.rs
@@ -1,4 +1,4 @@
-//! How an entry keeps proving that its configuration is the newest.
+//! An entry proves continuously that its configuration is the newest.
 
 mod support;
 
@@ -15,7 +15,7 @@
 const KEY: &str = "configuration";
 const HOLDS_FOR: Duration = Duration::from_millis(2500);
 
-/// An entry that has the first version in force and proves it.
+/// Starts an entry that proves the configuration, and waits until the document is in force.
 async fn start(fake: &Fake, document: &str) -> ActiveConfiguration {
     fake.put(KEY, document.as_bytes());
     let active = ActiveConfiguration::new(Some(HOLDS_FOR));
@@ -25,7 +25,7 @@
     active
 }
 
-/// Proofs go on while nothing changes, with about one call a second.
+/// Proofs continue while nothing changes, with about one call a second.
 #[test]
 fn steady_proof() {
     run(async {
@@ -39,10 +39,10 @@
     });
 }
 
-/// A watch that hears nothing answers as if nothing had changed; that proves nothing, and the next
-/// proof brings the change.
+/// A watch that misses changes answers as if nothing had changed. That is no proof, and the next proof delivers the
+/// change.
 #[test]
-fn deaf_watch() {
+fn stalled_watch() {
     run(async {
         let fake = Fake::default();
         let active = start(&fake, "1 standing:shop").await;
@@ -54,10 +54,10 @@
     });
 }
 
-/// An entry that the store turns away can't vouch for keys any more once the promise is due, and says so
-/// to the balancer; it can again soon after the store is back.
+/// During a store outage an entry can't verify keys once its last proof has expired. It can again soon after the store
+/// is back.
 #[test]
-fn store_away() {
+fn store_outage() {
     run(async {
         let fake = Fake::default();
         let active = start(&fake, "1 standing:shop").await;
@@ -71,7 +71,7 @@
     });
 }
 
-/// A store that leaves writes unanswered is read, so that keys go on being vouched for.
+/// If the store leaves writes unanswered, the entry reads it instead and continues to verify keys.
 #[test]
 fn lost_answers() {
     run(async {
@@ -85,28 +85,28 @@
     });
 }
 
-/// A proof that the store turned away for its rate was followed by a reading of the whole document at once, ten times
-/// a second while callers waited: with hundreds of entries that fills the store's link.
+/// Guards against reading the whole document after each rate-limited proof, ten times a second while callers wait:
+/// with hundreds of entries that saturates the store's link.
 #[test]
-fn turned_away() {
+fn refused_writes() {
     run(async {
         let fake = Fake::default();
         let active = start(&fake, "1 standing:shop").await;
-        let document_readings = || fake.reads_of(KEY) + fake.listings_of(KEY);
-        let before = document_readings();
+        let document_reads = || fake.reads_of(KEY) + fake.listings_of(KEY);
+        let before = document_reads();
         fake.fail_next_writes(&[WriteFault::Refused; 200]);
         for _ in 0..20 {
             active.wait_for_proof_since(clock::now(), Duration::from_millis(100)).await;
             assert!(active.can_verify_keys(clock::now()));
         }
-        let readings = document_readings() - before;
-        assert!(readings <= 2, "{readings} readings of the document in two seconds");
+        let reads = document_reads() - before;
+        assert!(reads <= 2, "{reads} reads of the document in two seconds");
     });
 }
 
-/// A question that hangs proves what stood when it left, not when its answer came.
+/// A proof is as old as the request, not as its delayed answer.
 #[test]
-fn hanging_question() {
+fn delayed_answer() {
     run(async {
         let fake = Fake::default();
         let active = start(&fake, "1 standing:shop").await;
@@ -117,9 +117,9 @@
     });
 }
 
-/// A hundred callers with keys that nobody knows share a few questions to the store.
+/// A hundred callers with unknown keys share a few requests to the store.
 #[test]
-fn many_strangers() {
+fn many_unknown_keys() {
     run(async {
         let fake = Fake::default();
         let active = start(&fake, "1 standing:shop").await;
@@ -141,7 +141,7 @@
     });
 }
 
-/// Where callers need no keys nothing is asked.
+/// No proof is requested if callers need no keys.
 #[test]
 fn no_keys() {
     run(async {
@@ -153,7 +153,7 @@
     });
 }
 
-/// A newest document that can't be read was sent again by each proof.
+/// Guards against transferring an unreadable newest document with each proof.
 #[test]
 fn unreadable_document() {
     run(async {
--- a/crates/jackdawpier_entry/tests/listing_schedule.rs
+++ b/crates/jackdawpier_entry/tests/listing_schedule.rs
@@ -1,18 +1,18 @@
-//! When a watch that hears nothing is doubted.
+//! When the next listing is due, depending on the changes that the watch reports.
 
 use std::time::Duration;
 
 use jackdawpier_entry::listing_schedule::ListingSchedule;
 
-const LONGEST: Duration = Duration::from_millis(2500);
+const MAX_INTERVAL: Duration = Duration::from_millis(2500);
 
 fn ms(time: u64) -> Duration {
     Duration::from_millis(time)
 }
 
-/// A watch that has told of a change every `gap_ms` until `ms(10_000)`.
+/// Returns the schedule of a watch that has reported a change every `gap_ms` until `ms(10_000)`.
 fn busy(gap_ms: u64) -> ListingSchedule {
-    let mut schedule = ListingSchedule::new(ms(0), LONGEST);
+    let mut schedule = ListingSchedule::new(ms(0), MAX_INTERVAL);
     for number in 1..=10_000 / gap_ms {
         schedule.on_changes(ms(number * gap_ms), 1);
     }
@@ -28,24 +28,27 @@
 }
 
 #[test]
-fn calm_watch() {
+fn quiet_watch() {
     assert!(
         busy(1000).time_until_listing(ms(10_000)) >= ms(2400),
-        "a second without news is usual there"
+        "a second without changes is usual there"
     );
-    assert_eq!(ListingSchedule::new(ms(0), LONGEST).time_until_listing(ms(500)), ms(2000));
+    assert_eq!(ListingSchedule::new(ms(0), MAX_INTERVAL).time_until_listing(ms(500)), ms(2000));
 }
 
-/// A listing that finds what the watch missed is repeated soon; one that finds nothing, later.
+/// A listing that finds missed changes is repeated soon; one that finds none is repeated later.
 #[test]
 fn listing_result() {
-    let (mut deaf, mut calm) = (busy(10), busy(10));
-    deaf.on_listed(ms(10_300), 3);
-    calm.on_listed(ms(10_300), 0);
-    assert!(deaf.time_until_listing(ms(10_300)) <= ms(250));
-    assert!(calm.time_until_listing(ms(10_300)) >= ms(350));
+    let (mut stalled, mut quiet) = (busy(10), busy(10));
+    stalled.on_listed(ms(10_300), 3);
+    quiet.on_listed(ms(10_300), 0);
+    assert!(stalled.time_until_listing(ms(10_300)) <= ms(250));
+    assert!(quiet.time_until_listing(ms(10_300)) >= ms(350));
     for number in 0..8 {
-        calm.on_listed(ms(11_000 + number), 0);
+        quiet.on_listed(ms(11_000 + number), 0);
     }
-    assert!(calm.time_until_listing(ms(11_010)) <= LONGEST, "the usual listing stays");
+    assert!(
+        quiet.time_until_listing(ms(11_010)) <= MAX_INTERVAL,
+        "the maximum interval still applies"
+    );
 }
--- a/crates/jackdawpier_entry/tests/order_note.rs
+++ b/crates/jackdawpier_entry/tests/order_note.rs
@@ -1,4 +1,4 @@
-//! An owner notes each machine before it orders it, and the next one finds the note.
+//! An owner records each machine order in a note before it sends it, and the next owner reads the note.
 
 mod support;
 
@@ -7,23 +7,23 @@
 use jackdawpier_entry::keys;
 use support::{Fake, WriteFault, run, start_owner, wait_until};
 
-/// A machine that is due for maintenance is in the store's note before the order arrives.
+/// A machine that is due for maintenance is in the stored note before its order arrives.
 #[test]
-fn noted_before() {
+fn recorded_before_sent() {
     run(async {
         let fake = Fake::default();
         fake.request_maintenance();
         let (_cell, _owning) = start_owner(&fake, "a");
         assert!(wait_until(|| !fake.machine_orders().is_empty()).await);
         for (machine, note) in fake.machine_orders() {
-            assert!(note.is_some_and(|note| note.contains(&*machine)), "{machine} isn't noted");
+            assert!(note.is_some_and(|note| note.contains(&*machine)), "{machine} isn't recorded");
         }
     });
 }
 
-/// Without the store's word no order about a machine leaves.
+/// No machine order is sent while writes of the note are unanswered.
 #[test]
-fn unanswered_note() {
+fn unanswered_write() {
     run(async {
         let fake = Fake::default();
         let (_cell, _owning) = start_owner(&fake, "a");
@@ -35,10 +35,10 @@
     });
 }
 
-/// An executor is registered while orders wait for the note, and may live on a machine that seemed idle: it would be taken with
-/// all that runs there.
+/// An executor registers while orders wait for the note. It may run on a machine that seemed idle, and an order for
+/// that machine would stop it with all its tasks.
 #[test]
-fn occupied_meanwhile() {
+fn occupied_while_waiting() {
     run(async {
         let fake = Fake::default();
         let (_cell, _owning) = start_owner(&fake, "a");
@@ -48,16 +48,16 @@
         fake.request_maintenance_of(3);
         tokio::time::sleep(Duration::from_millis(600)).await;
         fake.put("executors/executor-2", b"");
-        // A list of machines that doesn't name it counts as its end only later.
+        // A listing of machines without the executor counts as its end only later.
         tokio::time::sleep(Duration::from_millis(600)).await;
         let orders = fake.machine_orders();
         assert!(orders.is_empty(), "{orders:?}");
     });
 }
 
-/// The next owner leaves a noted machine alone, whose order may still be under way.
+/// The next owner delays orders for a recorded machine, whose last order may still be in flight.
 #[test]
-fn next_owner() {
+fn delayed_after_takeover() {
     run(async {
         let fake = Fake::default();
         fake.request_maintenance();
@@ -69,29 +69,29 @@
     });
 }
 
-/// Ages in the note are as old as the note: once no order in it matters any more it is written anew, or
-/// each later owner would leave its machines alone for seconds.
+/// The note is rewritten without outdated orders: ages in it are relative to its write, so each later owner would
+/// otherwise delay orders for those machines for seconds.
 #[test]
-fn old_orders() {
+fn outdated_orders() {
     run(async {
         let fake = Fake::default();
         fake.request_maintenance();
         let (_cell, _owning) = start_owner(&fake, "a");
         assert!(wait_until(|| !fake.machine_orders().is_empty()).await);
-        let names_none = || fake.value(keys::MACHINE_ORDERS).is_some_and(|note| note == b"[]");
-        assert!(!names_none());
-        assert!(wait_until(names_none).await);
+        let is_empty = || fake.value(keys::MACHINE_ORDERS).is_some_and(|note| note == b"[]");
+        assert!(!is_empty());
+        assert!(wait_until(is_empty).await);
     });
 }
 
-/// An owner that has lost the fleet while a hundred orders waited for the note asked the store for each of them.
+/// Guards against an owner that reads the store for each of a hundred waiting orders after it has lost the fleet.
 #[test]
 fn ended_term() {
     run(async {
         let fake = Fake::default();
         let (_cell, _owning) = start_owner(&fake, "a");
         assert!(wait_until(|| fake.value(keys::OWNER).is_some()).await);
-        // The first write of the note holds the others up, and the fleet is lost meanwhile.
+        // The first write of the note delays the others, and the fleet is lost meanwhile.
         fake.fail_next_writes(&[WriteFault::Hangs; 4]);
         fake.request_maintenance_of(100);
         tokio::time::sleep(Duration::from_millis(600)).await;
@@ -99,6 +99,6 @@
         let before = fake.reads();
         tokio::time::sleep(Duration::from_millis(1500)).await;
         let reads = fake.reads() - before;
-        assert!(reads <= 10, "{reads} readings after the term");
+        assert!(reads <= 10, "{reads} reads after the end of the term");
     });
 }
--- a/crates/jackdawpier_entry/tests/owner.rs
+++ b/crates/jackdawpier_entry/tests/owner.rs
@@ -1,4 +1,4 @@
-//! The owner carries jobs from the store to the executors and back, whatever the store loses.
+//! The owner runs stored jobs on executors and writes their outcomes, whichever answers the store loses.
 
 mod support;
 
@@ -11,7 +11,7 @@
 };
 
 #[test]
-fn whole_path() {
+fn completed_job() {
     run(async {
         let fake = Fake::default();
         let (cell, _owning) = start_owner(&fake, "a");
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn lost_writes() {
+fn failed_writes() {
     run(async {
         let fake = Fake::default();
         let (_cell, _owning) = start_owner(&fake, "a");
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn next_owner() {
+fn after_takeover() {
     run(async {
         let fake = Fake::default();
         let (cell, owning) = start_owner(&fake, "a");
@@ -56,12 +56,12 @@
         put_job(&fake, "k");
         assert!(wait_until(|| outcome(&fake, "k").is_some()).await);
         assert_eq!(next.view("j"), Some(JobView::Over(JobOutcome::Completed)));
-        assert_eq!(fake.starts().len(), 4, "what was done isn't done again");
+        assert_eq!(fake.starts().len(), 4, "ended tasks aren't started again");
     });
 }
 
 #[test]
-fn cancelled_before() {
+fn cancelled_before_start() {
     run(async {
         let fake = Fake::default();
         put_job(&fake, "j");
@@ -72,9 +72,9 @@
     });
 }
 
-/// An owner that is gone leaves a note behind that grows old.
+/// The last owner's counts are stale: the jobs are counted instead.
 #[test]
-fn old_note() {
+fn stale_counts() {
     run(async {
         let fake = Fake::default();
         fake.put(keys::PENDING, br#"{"at_ms":1000,"counts":{}}"#);
@@ -85,7 +85,7 @@
     });
 }
 
-/// All who ask while there is no owner share one count: a day's records fill a thin link.
+/// Concurrent callers share one count while there is no owner: reading a day's records saturates a slow link.
 #[test]
 fn shared_count() {
     run(async {
@@ -99,16 +99,16 @@
                 tokio::task::spawn_local(count)
             })
             .collect();
-        for one in asking {
-            assert_eq!(one.await.expect("it doesn't panic"), Ok(1));
+        for count in asking {
+            assert_eq!(count.await.expect("the task doesn't panic"), Ok(1));
         }
-        assert_eq!(fake.listings(), 2, "one of what was handed in, one of records");
+        assert_eq!(fake.listings(), 2, "one of submissions, one of records");
     });
 }
 
-/// Watches that hear nothing just when much comes in: what is handed in then begins all the same.
+/// The watch misses a burst of jobs after many reported ones: an early listing finds them.
 #[test]
-fn deaf_watch() {
+fn stalled_watch() {
     run(async {
         let fake = Fake::default();
         let (cell, _owning) = start_owner(&fake, "a");
@@ -119,18 +119,18 @@
         }
         fake.stall_watches(true);
         for number in 0..10 {
-            put_job(&fake, &format!("unheard-{number}"));
+            put_job(&fake, &format!("missed-{number}"));
         }
         tokio::time::sleep(Duration::from_millis(900)).await;
-        let known = (0..10).filter(|number| cell.view(&format!("unheard-{number}")).is_some());
+        let known = (0..10).filter(|number| cell.view(&format!("missed-{number}")).is_some());
         assert_eq!(known.count(), 10);
     });
 }
 
-/// A turn of demand comes while the store takes 0.32 s an answer: each job needs two records written, one
-/// after the other, and must not wait for those of hundreds of others.
+/// A burst of demand arrives while the store takes 0.32 s per answer. Each job needs two consecutive writes, which
+/// must not wait for the writes of hundreds of other jobs.
 #[test]
-fn slow_records() {
+fn slow_store_burst() {
     run(async {
         let fake = Fake::default();
         let (_cell, _owning) = start_owner(&fake, "a");
@@ -139,10 +139,10 @@
         fake.set_delay(Duration::from_millis(320));
         let mut small = submission();
         small.spec.steps.iter_mut().for_each(|step| step.need = Resources::default());
-        let value = serde_json::to_vec(&small).expect("it is plain data");
+        let value = serde_json::to_vec(&small).expect("a submission can be written as JSON");
         (0..400).for_each(|number| fake.put(&keys::submission(&format!("j-{number}")), &value));
         tokio::time::sleep(Duration::from_secs(4)).await;
-        let over = (0..400).filter(|number| outcome(&fake, &format!("j-{number}")).is_some());
-        assert_eq!(over.count(), 400, "a turn lasts four seconds");
+        let ended = (0..400).filter(|number| outcome(&fake, &format!("j-{number}")).is_some());
+        assert_eq!(ended.count(), 400, "jobs that ended within four seconds");
     });
 }
--- a/crates/jackdawpier_entry/tests/ownership.rs
+++ b/crates/jackdawpier_entry/tests/ownership.rs
@@ -1,4 +1,4 @@
-//! One entry owns the fleet, and knows when it doesn't any more.
+//! At most one entry owns the fleet, and it detects the end of its ownership.
 
 mod support;
 
@@ -26,9 +26,9 @@
     }
 }
 
-/// A store that grants no short leases gets asked for its shortest.
+/// The lease is at least as long as the shortest that the store grants.
 #[test]
-fn shortest_lease() {
+fn minimum_lease() {
     assert_eq!(lease_ttl(Duration::from_secs(5)), Duration::from_secs(5));
     assert!(lease_ttl(Duration::from_secs(1)) >= Duration::from_secs(1));
 }
@@ -44,34 +44,34 @@
     });
 }
 
-/// A process that was killed and started again needn't wait for its own lease.
+/// A restarted process needn't wait for the end of its previous process's lease.
 #[test]
-fn former_life() {
+fn restarted_owner() {
     run(async {
         let fake = Fake::default();
         let first = acquire(&fake, &candidate("a", "1", 1.0))
             .await
-            .expect("it answers")
-            .expect("nobody owns");
+            .expect("the store answers")
+            .expect("no entry owns the fleet");
         let second = acquire(&fake, &candidate("a", "2", 1.0))
             .await
-            .expect("it answers")
-            .expect("it is gone");
+            .expect("the store answers")
+            .expect("the previous process has ended");
         assert!(second.fence > first.fence);
         assert!(!first.confirm(&fake).await);
         assert!(!first.is_valid());
     });
 }
 
-/// The key can be taken away while the lease lives on.
+/// The key can be removed while the lease is still valid.
 #[test]
-fn key_taken_away() {
+fn removed_key() {
     run(async {
         let fake = Fake::default();
         let term = acquire(&fake, &candidate("a", "1", 1.0))
             .await
-            .expect("it answers")
-            .expect("nobody owns");
+            .expect("the store answers")
+            .expect("no entry owns the fleet");
         assert!(term.confirm(&fake).await);
         fake.remove(keys::OWNER);
         assert!(term.renew(&fake).await.is_ok());
@@ -86,11 +86,11 @@
         let fake = Fake::default();
         let term = acquire(&fake, &candidate("a", "1", 1.0))
             .await
-            .expect("it answers")
-            .expect("nobody owns");
+            .expect("the store answers")
+            .expect("no entry owns the fleet");
         fake.set_down(true);
-        assert!(!term.confirm(&fake).await, "no order about a machine without the store's word");
-        assert!(term.is_valid(), "running work keeps its leases meanwhile");
+        assert!(!term.confirm(&fake).await, "no machine order without confirmation by the store");
+        assert!(term.is_valid(), "running tasks keep their leases meanwhile");
     });
 }
 
@@ -99,50 +99,55 @@
     run(async {
         let fake = Fake::default();
         fake.fail_next_writes(&[WriteFault::AnswerLost]);
-        let term = acquire(&fake, &candidate("a", "1", 1.0)).await.expect("it answers");
+        let term = acquire(&fake, &candidate("a", "1", 1.0)).await.expect("the store answers");
         assert!(term.is_some());
     });
 }
 
-/// A try that may be carried out later must not make an owner that doesn't know of it.
+/// A delayed write must not make an entry the owner after it has given up on the write.
 #[test]
-fn late_write() {
+fn delayed_write() {
     run(async {
         let fake = Fake::default();
         fake.fail_next_writes(&[WriteFault::Delayed]);
-        assert!(acquire(&fake, &candidate("a", "1", 1.0)).await.expect("it answers").is_none());
-        let other = acquire(&fake, &candidate("b", "1", 1.0)).await.expect("it answers");
+        assert!(
+            acquire(&fake, &candidate("a", "1", 1.0)).await.expect("the store answers").is_none()
+        );
+        let other = acquire(&fake, &candidate("b", "1", 1.0)).await.expect("the store answers");
         fake.apply_delayed_writes();
-        assert!(other.expect("nobody owns").confirm(&fake).await);
+        assert!(other.expect("no entry owns the fleet").confirm(&fake).await);
     });
 }
 
-/// An entry with little processor leaves a free ownership to those with more.
+/// An entry with little processor leaves a free ownership to a larger one.
 #[test]
-fn small_machine() {
+fn small_entry_waits() {
     run(async {
         let fake = Fake::default();
         let small = {
             let fake = fake.clone();
             tokio::task::spawn_local(async move {
-                acquire(&fake, &candidate("small", "1", 0.12)).await.expect("it answers").is_some()
+                acquire(&fake, &candidate("small", "1", 0.12))
+                    .await
+                    .expect("the store answers")
+                    .is_some()
             })
         };
         tokio::task::yield_now().await;
-        let large = acquire(&fake, &candidate("large", "1", 0.5)).await.expect("it answers");
+        let large = acquire(&fake, &candidate("large", "1", 0.5)).await.expect("the store answers");
         assert!(large.is_some());
-        assert!(!small.await.expect("it doesn't panic"));
+        assert!(!small.await.expect("the task doesn't panic"));
     });
 }
 
-/// A term that has run out at its holder stays over, even if a late renewal succeeds: its loops have
-/// ended, and nobody else could take over while the lease is kept alive.
+/// An expired term stays invalid even if a late renewal would succeed: its loops have ended, and no other entry
+/// could take over while the lease is renewed.
 #[test]
 fn late_renewal() {
     run(async {
         let fake = Fake::default();
-        let term = acquire(&fake, &candidate("a", "1", 1.0)).await.expect("it answers");
-        let term = term.expect("nobody owns");
+        let term = acquire(&fake, &candidate("a", "1", 1.0)).await.expect("the store answers");
+        let term = term.expect("no entry owns the fleet");
         tokio::time::sleep(lease_ttl(Duration::ZERO) * 9 / 10).await;
         assert!(!term.is_valid());
         assert!(term.renew(&fake).await.is_err());
@@ -150,28 +155,31 @@
     });
 }
 
-/// A larger machine that comes back takes the ownership from a small one; nobody takes it from a
-/// large one, nor a small one from another.
+/// A larger entry takes the ownership from a small one; no entry takes it from a large one, and no small entry from
+/// another small one.
 #[test]
-fn larger_machine() {
+fn larger_entry() {
     run(async {
         let fake = Fake::default();
-        let small = acquire(&fake, &candidate("small", "1", 0.12)).await.expect("it answers");
-        let small = small.expect("nobody owns");
-        let other = acquire(&fake, &candidate("other", "1", 0.12)).await.expect("it answers");
+        let small =
+            acquire(&fake, &candidate("small", "1", 0.12)).await.expect("the store answers");
+        let small = small.expect("no entry owns the fleet");
+        let other =
+            acquire(&fake, &candidate("other", "1", 0.12)).await.expect("the store answers");
         assert!(other.is_none());
-        let large = acquire(&fake, &candidate("large", "1", 0.5)).await.expect("it answers");
+        let large = acquire(&fake, &candidate("large", "1", 0.5)).await.expect("the store answers");
         let large = large.expect("it is larger");
         assert!(large.fence > small.fence);
         assert!(!small.confirm(&fake).await && !small.is_valid());
-        let second = acquire(&fake, &candidate("second", "1", 0.5)).await.expect("it answers");
+        let second =
+            acquire(&fake, &candidate("second", "1", 0.5)).await.expect("the store answers");
         assert!(second.is_none() && large.confirm(&fake).await);
     });
 }
 
-/// Where all machines are small the owner keeps what it holds.
+/// If all entries are small, the owner keeps the ownership.
 #[test]
-fn small_machines() {
+fn small_entries_only() {
     run(async {
         let fake = Fake::default();
         fake.put("executors/executor-1", b"");
@@ -201,8 +209,8 @@
     });
 }
 
-/// A store that takes long for each answer, though less than a renewal holds, costs no ownership: a
-/// change of owner would keep all work waiting for seconds more.
+/// A slow store whose answers arrive within the validity of a renewal doesn't end the ownership: a takeover would
+/// delay all work by seconds.
 #[test]
 fn slow_store() {
     run(async {
@@ -216,15 +224,15 @@
             assert_eq!(fake.value(keys::OWNER), term);
         }
         fake.set_delay(Duration::ZERO);
-        let value = serde_json::to_vec(&submission()).expect("it is plain data");
+        let value = serde_json::to_vec(&submission()).expect("a submission can be written as JSON");
         fake.put(&keys::submission("j"), &value);
         assert!(wait_until(|| outcome(&fake, "j").is_some()).await);
         assert_eq!(fake.value(keys::OWNER), term);
     });
 }
 
-/// Leases pause while the store is down. The owner's term is over by then, so nobody waits for the rest of
-/// its lease once the store is back.
+/// Leases pause while the store is down. The owner's term has ended by the time the store is back, so the next owner
+/// doesn't wait for the rest of the lease.
 #[test]
 fn paused_lease() {
     run(async {
--- a/crates/jackdawpier_entry/tests/record_size.rs
+++ b/crates/jackdawpier_entry/tests/record_size.rs
@@ -1,12 +1,12 @@
-//! Whether what is written of a job fits into the store.
+//! A job's record fits into the store.
 
 use jackdawpier_fleet::{
     record::{JobRecord, TaskRecord, TaskStatus},
     spec::{MAX_TASKS_PER_JOB, RunNumber},
 };
 
-/// Most bytes of a value in the store.
-const MOST_VALUE_BYTES: usize = 1_048_576;
+/// Maximum size of a value in the store.
+const MAX_VALUE_BYTES: usize = 1_048_576;
 
 fn placed_task() -> TaskRecord {
     TaskRecord {
@@ -19,11 +19,11 @@
     }
 }
 
-/// A job was taken in whose record the store turns away for good, and with it the jobs in the same write.
+/// Guards against accepting a job whose record the store refuses, together with the other jobs in the same write.
 #[test]
 fn largest_job() {
     let tasks = vec![placed_task(); MAX_TASKS_PER_JOB as usize];
     let record = JobRecord { has_begun: true, tasks, ..JobRecord::default() };
     let bytes = serde_json::to_vec(&record).expect("a record can be written as JSON").len();
-    assert!(bytes <= MOST_VALUE_BYTES, "{bytes} bytes");
+    assert!(bytes <= MAX_VALUE_BYTES, "{bytes} bytes");
 }
--- a/crates/jackdawpier_entry/tests/registry.rs
+++ b/crates/jackdawpier_entry/tests/registry.rs
@@ -1,4 +1,4 @@
-//! Entries of the registry that another writer has put there.
+//! The owner follows the registry of executors, including unreadable entries and missed changes.
 
 mod support;
 
@@ -8,9 +8,10 @@
 use jackdawpier_fleet::record::JobOutcome;
 use support::{Fake, UNREADABLE, outcome, put_job, run, start_owner, wait_until};
 
-const ENTRY: &str = "executors/executor-1";
+const REGISTRATION: &str = "executors/executor-1";
 
-/// An entry that turns unreadable names no executor, also when a watch brings it; the next one does.
+/// An entry that becomes unreadable unregisters its executor, also if a watch reports it; a readable one registers it
+/// again.
 #[test]
 fn unreadable_entry() {
     run(async {
@@ -18,17 +19,17 @@
         let (_cell, _owning) = start_owner(&fake, "a");
         put_job(&fake, "before");
         assert!(wait_until(|| outcome(&fake, "before").is_some()).await);
-        fake.put(ENTRY, UNREADABLE);
+        fake.put(REGISTRATION, UNREADABLE);
         tokio::time::sleep(Duration::from_millis(100)).await;
         put_job(&fake, "j");
         tokio::time::sleep(Duration::from_millis(800)).await;
-        assert_eq!(fake.starts().len(), 2, "it isn't used");
-        fake.put(ENTRY, b"");
+        assert_eq!(fake.starts().len(), 2, "the unreadable executor isn't used");
+        fake.put(REGISTRATION, b"");
         assert!(wait_until(|| outcome(&fake, "j") == Some(JobOutcome::Completed)).await);
     });
 }
 
-/// The others hold.
+/// An unreadable entry of another writer doesn't affect the other entries.
 #[test]
 fn foreign_entry() {
     run(async {
@@ -40,29 +41,29 @@
     });
 }
 
-/// A watch hears nothing while an executor turns unreadable, and nothing else changes: it is found out
-/// within the two seconds for which a notice of leaving may go unheeded.
+/// The watch misses that an executor's entry becomes unreadable, and nothing else changes: a listing finds it within
+/// two seconds, the time after which a notice of leaving has to take effect.
 #[test]
-fn deaf_watch() {
+fn stalled_watch() {
     run(async {
         let fake = Fake::default();
         let (_cell, _owning) = start_owner(&fake, "a");
         put_job(&fake, "before");
         assert!(wait_until(|| outcome(&fake, "before").is_some()).await);
         fake.stall_watches(true);
-        fake.put(ENTRY, UNREADABLE);
+        fake.put(REGISTRATION, UNREADABLE);
         tokio::time::sleep(Duration::from_millis(1900)).await;
         fake.stall_watches(false);
         put_job(&fake, "j");
         tokio::time::sleep(Duration::from_millis(500)).await;
-        assert_eq!(fake.starts().len(), 2, "it isn't used");
+        assert_eq!(fake.starts().len(), 2, "the unreadable executor isn't used");
     });
 }
 
-/// Reading a registry of thousands takes over a second: the watch was taken for silent once that was done, and
-/// the whole was read again and again.
+/// Guards against repeated listings of a registry of thousands: listing it takes over a second, after which the watch
+/// was considered broken.
 #[test]
-fn long_list() {
+fn slow_listing() {
     run(async {
         let fake = Fake::default();
         fake.set_list_delay(Duration::from_millis(1100));
@@ -70,10 +71,10 @@
         assert!(wait_until(|| fake.listings_of("executors/") > 0).await);
         let until = clock::now() + Duration::from_secs(7);
         while clock::now() < until {
-            fake.put(ENTRY, b"");
+            fake.put(REGISTRATION, b"");
             tokio::time::sleep(Duration::from_millis(200)).await;
         }
-        let lists = fake.listings_of("executors/");
-        assert!(lists <= 2, "read {lists} times in seven seconds");
+        let listings = fake.listings_of("executors/");
+        assert!(listings <= 2, "listed {listings} times in seven seconds");
     });
 }
--- a/crates/jackdawpier_entry/tests/registry_changes.rs
+++ b/crates/jackdawpier_entry/tests/registry_changes.rs
@@ -1,4 +1,4 @@
-//! What passes for news in the registry.
+//! Which updates of the registry are reported as changes.
 
 mod support;
 
@@ -11,10 +11,10 @@
 
 fn info(id: &str) -> ExecutorInfo {
     let read = Fake::default().read_executor("executors/executor-1", b"");
-    ExecutorInfo { id: id.into(), ..read.expect("it can be read") }
+    ExecutorInfo { id: id.into(), ..read.expect("the entry can be read") }
 }
 
-/// A renewal that changes nothing is no news, one that does is.
+/// A renewal is reported only if it changes the registration.
 #[test]
 fn renewed_entry() {
     let mut registry = Registry::default();
@@ -26,9 +26,9 @@
     assert_eq!(changed, Some(RegistryChange::Registered(leaving)));
 }
 
-/// An entry that can't be read any more takes its executor out, once.
+/// An entry that becomes unreadable unregisters its executor once.
 #[test]
-fn garbled_entry() {
+fn unreadable_entry() {
     let mut registry = Registry::default();
     registry.put("a", Some(info("a")));
     assert_eq!(registry.put("a", None), Some(RegistryChange::Unregistered("a".into())));
@@ -36,9 +36,9 @@
     assert_eq!(registry.remove("a"), None);
 }
 
-/// A listing tells what a watch has missed, and nothing else.
+/// A listing reports the changes that a watch missed, and nothing else.
 #[test]
-fn listed_again() {
+fn relisted_entries() {
     let mut registry = Registry::default();
     for id in ["a", "b", "c"] {
         registry.put(id, Some(info(id)));
--- a/crates/jackdawpier_entry/tests/shared_proof.rs
+++ b/crates/jackdawpier_entry/tests/shared_proof.rs
@@ -1,4 +1,4 @@
-//! One entry's proof of the keys for all of them.
+//! One entry proves the configuration for all entries.
 
 mod support;
 
@@ -18,7 +18,7 @@
 use tokio::task::JoinHandle;
 
 const HOLDS_FOR: Duration = Duration::from_secs(5);
-const LOOK: Duration = Duration::from_millis(50);
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 struct Prover {
     connection: Fake,
@@ -50,12 +50,12 @@
     provers
 }
 
-/// Looks again and again whether all can prove keys.
-async fn all_prove(provers: &[Prover], time: Duration) {
+/// Asserts repeatedly during a time that all entries can verify keys.
+async fn assert_all_prove(provers: &[Prover], time: Duration) {
     let until = clock::now() + time;
     while clock::now() < until {
         assert!(provers.iter().all(Prover::can_prove));
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
@@ -68,7 +68,8 @@
     Duration::from_secs(seconds)
 }
 
-/// Forty entries wrote 120 times in four seconds, and a thousand as often as the store allows.
+/// Guards against entries that all write the note: forty made 120 writes in four seconds, and a thousand reached the
+/// store's rate limit.
 #[test]
 fn few_writes() {
     run(async {
@@ -76,39 +77,39 @@
         fake.set_delay(Duration::from_millis(6));
         let provers = start(&fake, 40, HOLDS_FOR).await;
         let before = fake.commits();
-        all_prove(&provers, s(6)).await;
+        assert_all_prove(&provers, s(6)).await;
         let writes = fake.commits() - before;
         assert!(writes <= 20, "{writes} writes in six seconds");
     });
 }
 
-/// An entry is cut off, and a key is taken away at that moment, after the note was read at any time before.
+/// A disconnected entry stops accepting a key that is removed at the same moment, whenever it last read the note.
 #[test]
-fn cut_off() {
+fn disconnected_entry() {
     run(async {
         let fake = Fake::default();
         let valid_for = Duration::from_millis(3000);
         let provers = start(&fake, 14, valid_for).await;
-        let mut cuts = Vec::new();
+        let mut disconnected = Vec::new();
         for (prover, version) in provers.iter().zip(2..) {
             tokio::time::sleep(Duration::from_millis(100)).await;
             prover.connection.disconnect();
             fake.put(CONFIGURATION, format!("{version} other:shop").as_bytes());
-            cuts.push((clock::now(), prover));
+            disconnected.push((clock::now(), prover));
         }
-        for (cut_at, prover) in cuts {
-            tokio::time::sleep((cut_at + valid_for).saturating_sub(clock::now())).await;
+        for (disconnected_at, prover) in disconnected {
+            tokio::time::sleep((disconnected_at + valid_for).saturating_sub(clock::now())).await;
             assert!(!prover.can_prove());
         }
     });
 }
 
-/// The note was written before a key was taken away, and read after it.
+/// The note was written before a key was removed, and read afterwards.
 #[test]
-fn late_reading() {
+fn read_after_change() {
     let mut shared = SharedProof::default();
     assert_eq!(shared.on_read(s(1), Some(&note(5, 3))), Reading::Inconclusive);
-    // It is written at 2 s, and the key goes at 3 s.
+    // The note is written at 2 s, and the key is removed at 3 s.
     assert_eq!(
         shared.on_read(s(4), Some(&note(6, 3))),
         Reading::Confirmed { document: 3, at: s(1) },
@@ -116,7 +117,7 @@
     );
 }
 
-/// An entry is suspended between two readings: what the second shows is as old as the first.
+/// An entry is suspended between two reads: the proof of the second is as old as the first.
 #[test]
 fn suspended() {
     let mut shared = SharedProof::default();
@@ -127,7 +128,7 @@
     assert!(!proof.is_valid(s(11)));
 }
 
-/// An unchanged note proves nothing, but makes what the next one proves younger.
+/// An unchanged note proves nothing, but makes the next proof more recent.
 #[test]
 fn unchanged_note() {
     let mut shared = SharedProof::default();
@@ -137,41 +138,41 @@
     assert_eq!(reading, Reading::Confirmed { document: 3, at: s(2) });
 }
 
-/// An answer that is older than one seen before doesn't make the next look like news.
+/// An answer older than a previous one doesn't make the next read look like a change.
 #[test]
-fn old_answer() {
+fn delayed_answer() {
     let mut shared = SharedProof::default();
     shared.on_read(s(1), Some(&note(6, 3)));
     assert_eq!(shared.on_read(s(2), Some(&note(5, 3))), Reading::Inconclusive);
     assert_eq!(shared.on_read(s(3), Some(&note(6, 3))), Reading::Unchanged);
 }
 
-/// Whoever writes stops, one after another: the others go on without a gap.
+/// The writers stop one after another: the other entries continue without a gap.
 #[test]
-fn dead_writers() {
+fn stopped_writers() {
     run(async {
         let fake = Fake::default();
         let mut provers = start(&fake, 5, HOLDS_FOR).await;
         while provers.len() > 1 {
-            all_prove(&provers, Duration::from_millis(1500)).await;
+            assert_all_prove(&provers, Duration::from_millis(1500)).await;
             provers.remove(0).proving.abort();
         }
-        all_prove(&provers, s(3)).await;
+        assert_all_prove(&provers, s(3)).await;
     });
 }
 
-/// The store carries writes out and loses their answers.
+/// The store applies writes but loses their answers.
 #[test]
 fn lost_answers() {
     run(async {
         let fake = Fake::default();
         let provers = start(&fake, 5, HOLDS_FOR).await;
         fake.fail_next_writes(&[WriteFault::AnswerLost; 100]);
-        all_prove(&provers, s(6)).await;
+        assert_all_prove(&provers, s(6)).await;
     });
 }
 
-/// The store turns all writes away, as one does that is asked for too many: few are tried, and keys go on standing.
+/// The store refuses all writes, as a rate limit does: few are attempted, and keys remain verifiable.
 #[test]
 fn refused_writes() {
     run(async {
@@ -179,15 +180,15 @@
         let provers = start(&fake, 10, HOLDS_FOR).await;
         fake.fail_next_writes(&[WriteFault::Refused; 1000]);
         let before = fake.commits();
-        all_prove(&provers, s(6)).await;
+        assert_all_prove(&provers, s(6)).await;
         let writes = fake.commits() - before;
         assert!(writes <= 50, "{writes} writes in six seconds");
     });
 }
 
-/// A write that is carried out after the document has changed says nothing.
+/// A delayed write has no effect once the document has changed.
 #[test]
-fn late_write() {
+fn delayed_write() {
     run(async {
         let fake = Fake::default();
         let provers = start(&fake, 1, HOLDS_FOR).await;
@@ -202,15 +203,16 @@
     });
 }
 
-/// The document changes and no watch tells of it: one entry finds it out by its write, the others by the note.
+/// All watches miss a change of the document: one entry detects it by its write, the others by the note.
 #[test]
-fn deaf_watches() {
+fn stalled_watches() {
     run(async {
         let fake = Fake::default();
         let provers = start(&fake, 10, HOLDS_FOR).await;
         fake.stall_watches(true);
         fake.put(CONFIGURATION, b"2 other:shop");
-        let has_changed = |prover: &Prover| prover.active.get().is_some_and(|one| one.version == 2);
+        let has_changed =
+            |prover: &Prover| prover.active.get().is_some_and(|current| current.version == 2);
         assert!(wait_until(|| provers.iter().all(has_changed)).await);
     });
 }
--- a/crates/jackdawpier_entry/tests/stopping.rs
+++ b/crates/jackdawpier_entry/tests/stopping.rs
@@ -1,4 +1,4 @@
-//! A stopping process answers what still comes on open connections, and asks callers to leave.
+//! A stopping process answers requests on open connections, and asks callers to close them.
 
 mod support;
 
@@ -24,7 +24,7 @@
 
 fn free_address() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has free ports");
-    listener.local_addr().expect("it is bound")
+    listener.local_addr().expect("the listener is bound")
 }
 
 async fn connect(address: SocketAddr) -> TcpStream {
@@ -37,9 +37,9 @@
 }
 
 async fn ask(stream: &mut TcpStream) -> String {
-    stream.write_all(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n").await.expect("it is open");
+    stream.write_all(b"GET / HTTP/1.1\r\nhost: x\r\n\r\n").await.expect("the connection is open");
     let mut buffer = [0; 1024];
-    let count = stream.read(&mut buffer).await.expect("it is answered");
+    let count = stream.read(&mut buffer).await.expect("the request is answered");
     String::from_utf8_lossy(&buffer[..count]).to_ascii_lowercase()
 }
 
@@ -58,13 +58,13 @@
         assert!(answer.starts_with("http/1.1 200"), "{answer}");
         assert!(answer.contains("connection: close"), "{answer}");
         let mut rest = Vec::new();
-        let count = idle.read_to_end(&mut rest).await.expect("it is closed in order");
+        let count = idle.read_to_end(&mut rest).await.expect("the connection is closed in order");
         assert_eq!(count, 0);
     });
 }
 
-/// A request came on an open connection in the last tenth of a second of a stopping process, had to wait for
-/// the store's word on its key, and was cut off: `LOST: a request was cut off by a planned stop`.
+/// Guards against aborting a request that arrives in the last tenth of a second of a stopping process and waits for the
+/// store to verify its key.
 #[test]
 fn last_request() {
     run(async {
@@ -84,7 +84,10 @@
         };
         let now = clock::now();
         drain(&in_flight, now, now + Duration::from_secs(3), report).await;
-        assert!(clock::since(now) >= Duration::from_millis(400), "the process has ended before");
-        assert!(answer.await.expect("it was asked").starts_with("http/1.1 200"));
+        assert!(
+            clock::since(now) >= Duration::from_millis(400),
+            "the process exited before the answer"
+        );
+        assert!(answer.await.expect("the request was sent").starts_with("http/1.1 200"));
     });
 }
--- a/crates/jackdawpier_entry/tests/support/entry.rs
+++ b/crates/jackdawpier_entry/tests/support/entry.rs
@@ -1,4 +1,4 @@
-//! An entry with the port that callers use, in front of a store in memory.
+//! An entry with the callers' port, on an in-memory platform.
 
 use std::{
     net::{SocketAddr, TcpListener},
@@ -23,7 +23,7 @@
 
 use super::{CONFIGURATION, Fake, start_intake, wait_until};
 
-/// An entry in front of a store, and the end of its stop signal.
+/// A running entry, which stops when it is dropped.
 pub struct Entry {
     pub fake: Fake,
     pub address: SocketAddr,
@@ -32,13 +32,13 @@
 }
 
 impl Entry {
-    /// Starts one whose keys have to be proved that often, and waits until it has a configuration, which
-    /// is a plain one if the store holds none.
+    /// Starts an entry whose proofs of keys expire after `valid_for`, and waits until it has a configuration. Writes a
+    /// minimal configuration if the store has none.
     pub async fn start(fake: &Fake, valid_for: Option<Duration>) -> Self {
         Self::start_with_owner(fake, valid_for, FleetHandle::default()).await
     }
 
-    /// The same with the fleet, while it owns it.
+    /// As [`Entry::start`], with access to the fleet while `owner` owns it.
     pub async fn start_with_owner(
         fake: &Fake,
         valid_for: Option<Duration>,
@@ -60,19 +60,19 @@
             events: events.clone(),
         });
         let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has free ports");
-        let address = listener.local_addr().expect("it is bound");
+        let address = listener.local_addr().expect("the listener is bound");
         drop(listener);
         let (stop, stopping) = watch::channel(false);
         let answer = move |request| callers.clone().handle(request);
         tokio::task::spawn_local(serve(address, answer, InFlight::default(), stopping));
-        let is_known =
+        let is_ready =
             || active.get().is_some() && (valid_for.is_none() || active.proof_age().is_some());
-        assert!(wait_until(is_known).await);
+        assert!(wait_until(is_ready).await);
         Self { fake: fake.clone(), address, events, _stop: stop }
     }
 
     /// Sends one request and returns the whole answer.
-    pub async fn ask(&self, method: &str, path: &str, key: Option<&str>) -> String {
+    pub async fn request(&self, method: &str, path: &str, key: Option<&str>) -> String {
         let mut stream = loop {
             match TcpStream::connect(self.address).await {
                 Ok(stream) => break stream,
@@ -83,14 +83,14 @@
         let head = format!(
             "{method} {path} HTTP/1.1\r\nhost: host\r\n{key}connection: close\r\ncontent-length: 2\r\n\r\n{{}}"
         );
-        stream.write_all(head.as_bytes()).await.expect("it is open");
+        stream.write_all(head.as_bytes()).await.expect("the connection is open");
         let mut answer = String::new();
-        stream.read_to_string(&mut answer).await.expect("it is answered");
+        stream.read_to_string(&mut answer).await.expect("the request is answered");
         answer
     }
 
     pub async fn status(&self, method: &str, path: &str, key: Option<&str>) -> u16 {
-        let answer = self.ask(method, path, key).await;
+        let answer = self.request(method, path, key).await;
         answer[9..12].parse().expect("a status follows the version")
     }
 }
--- a/crates/jackdawpier_entry/tests/support/fake.rs
+++ b/crates/jackdawpier_entry/tests/support/fake.rs
@@ -1,5 +1,5 @@
-//! A platform in memory: a store with leases whose answers can be lost, and the rest of it
-//! ([`outside`]). Everything of it can be told to fail.
+//! An in-memory platform for tests: a store with leases and injectable faults, and the rest of the platform
+//! ([`outside`]).
 
 mod outside;
 
@@ -29,23 +29,23 @@
 
 pub use outside::configuration;
 
-/// What becomes of a write.
+/// A fault of one write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WriteFault {
-    /// Carried out, but the answer is lost.
+    /// Applied, but the answer is lost.
     AnswerLost,
-    /// Not answered; carried out later, by [`Fake::apply_delayed_writes`].
+    /// Not answered; applied later by [`Fake::apply_delayed_writes`].
     Delayed,
-    /// Not answered and never carried out.
+    /// Not answered and never applied.
     Lost,
-    /// Turned away.
+    /// Refused.
     Refused,
-    /// Not answered until the caller gives up, and never carried out.
+    /// Not answered until the caller times out, and never applied.
     Hangs,
 }
 
 #[derive(Debug)]
-struct Held {
+struct StoredItem {
     value: Vec<u8>,
     revision: u64,
     lease: Option<LeaseId>,
@@ -53,54 +53,54 @@
 
 #[derive(Debug, Default)]
 struct State {
-    items: BTreeMap<String, Held>,
+    items: BTreeMap<String, StoredItem>,
     revision: u64,
     leases: BTreeMap<LeaseId, (Now, Duration)>,
     next_lease: LeaseId,
-    fates: VecDeque<WriteFault>,
-    late: Vec<Transaction>,
+    write_faults: VecDeque<WriteFault>,
+    delayed: Vec<Transaction>,
     commits: usize,
     listings: usize,
-    /// Readings of items or of listings, without those that a watch makes here.
+    /// Reads of items and listings, excluding the watches' own.
     reads: usize,
-    /// Readings of each item.
+    /// Reads of each item.
     reads_of: BTreeMap<String, usize>,
     /// Bytes of the values that listings have returned.
     listed_bytes: usize,
-    /// Listings of each prefix, without those that a watch makes here.
+    /// Listings of each prefix, excluding the watches' own.
     listings_of: BTreeMap<String, usize>,
     ended: Vec<EndedTask>,
     starts: Vec<(TaskKey, RunNumber)>,
     is_down: bool,
-    /// Watches hear nothing.
-    is_deaf: bool,
-    /// Watches are cut as soon as they wait.
-    is_cutting: bool,
+    /// Whether watches report no changes.
+    are_watches_stalled: bool,
+    /// Whether watches end at once, without changes.
+    do_watches_end_at_once: bool,
     watches: usize,
-    /// Time that a call of the store takes, half of it on the way there.
+    /// Duration of a call of the store, half of it before the call takes effect.
     delay: Duration,
-    /// Every so-many-th reading of an item is served, the others are turned away; 0: all are served.
+    /// One read of an item in this many is served, the others are refused; 0: all are served.
     serves_one_in: usize,
-    /// Time that a listing takes besides.
+    /// Additional duration of a listing.
     list_delay: Duration,
-    /// Machines for which a wave of maintenance asks.
-    due: usize,
-    /// Machines that were ordered, each with the note that the store held then.
+    /// Number of machines that a maintenance wave asks for.
+    machines_due: usize,
+    /// Machine orders, each with the note that the store contained then.
     machine_orders: Vec<(MachineId, Option<String>)>,
 }
 
-/// The platform, and whether the way to it is cut that this clone and its clones take.
+/// The platform, and whether the connection that this clone and its clones share is disconnected.
 #[derive(Debug, Clone, Default)]
 pub struct Fake(Rc<RefCell<State>>, Rc<Cell<bool>>);
 
-/// How long a call waits for an answer.
-const CALL_PATIENCE: Duration = Duration::from_millis(800);
+/// Timeout of a call.
+const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// Key of the operators' document.
 pub const CONFIGURATION: &str = "configuration";
 pub const EXECUTOR: &str = "executor-1";
 pub const QUEUE: &str = "queue";
-/// A value of the registry or of a wave that can't be read.
+/// An unreadable value of the registry or of a wave.
 pub const UNREADABLE: &[u8] = b"unreadable";
 
 fn machine(number: usize) -> MachineId {
@@ -108,24 +108,24 @@
 }
 
 impl Fake {
-    /// The next writes meet these fates; those after them succeed.
-    pub fn fail_next_writes(&self, fates: &[WriteFault]) {
-        self.0.borrow_mut().fates.extend(fates);
+    /// Lets the next writes fail with these faults; later ones succeed.
+    pub fn fail_next_writes(&self, faults: &[WriteFault]) {
+        self.0.borrow_mut().write_faults.extend(faults);
     }
 
     pub fn apply_delayed_writes(&self) {
-        let late = std::mem::take(&mut self.0.borrow_mut().late);
-        late.iter().for_each(|transaction| {
+        let delayed = std::mem::take(&mut self.0.borrow_mut().delayed);
+        delayed.iter().for_each(|transaction| {
             self.apply(transaction);
         });
     }
 
-    /// The same platform over a way of its own.
+    /// Returns the same platform over a separate connection.
     pub fn with_own_connection(&self) -> Self {
         Self(self.0.clone(), Rc::default())
     }
 
-    /// Cuts this way to the platform for good.
+    /// Disconnects this connection to the platform for good.
     pub fn disconnect(&self) {
         self.1.set(true);
     }
@@ -134,7 +134,7 @@
         self.0.borrow_mut().is_down = is_down;
     }
 
-    /// The store is down for a while, and leases pause meanwhile.
+    /// Takes the store down for a time, during which leases pause.
     pub async fn pause_store(&self, time: Duration) {
         self.set_down(true);
         tokio::time::sleep(time).await;
@@ -143,31 +143,31 @@
         state.is_down = false;
     }
 
-    /// Makes watches hear nothing, though changes are made.
-    pub fn stall_watches(&self, is_deaf: bool) {
-        self.0.borrow_mut().is_deaf = is_deaf;
+    /// Makes watches report no changes.
+    pub fn stall_watches(&self, are_watches_stalled: bool) {
+        self.0.borrow_mut().are_watches_stalled = are_watches_stalled;
     }
 
-    /// Cuts watches as soon as they wait: they answer at once that nothing has changed.
-    pub fn end_watches_at_once(&self, is_cutting: bool) {
-        self.0.borrow_mut().is_cutting = is_cutting;
+    /// Makes watches end at once, without changes.
+    pub fn end_watches_at_once(&self, do_watches_end_at_once: bool) {
+        self.0.borrow_mut().do_watches_end_at_once = do_watches_end_at_once;
     }
 
     pub fn watches(&self) -> usize {
         self.0.borrow().watches
     }
 
-    /// Makes each call of the store take this long.
+    /// Sets the duration of each call of the store.
     pub fn set_delay(&self, delay: Duration) {
         self.0.borrow_mut().delay = delay;
     }
 
-    /// Makes each listing take this long besides, as one with many items does.
+    /// Sets the additional duration of each listing, as of one with many items.
     pub fn set_list_delay(&self, delay: Duration) {
         self.0.borrow_mut().list_delay = delay;
     }
 
-    /// Half of the time that a call takes.
+    /// Waits for half of a call's duration.
     async fn half_round_trip(&self) {
         let delay = self.0.borrow().delay;
         if !delay.is_zero() {
@@ -185,11 +185,11 @@
     }
 
     pub fn value(&self, key: &str) -> Option<Vec<u8>> {
-        self.0.borrow().items.get(key).map(|held| held.value.clone())
+        self.0.borrow().items.get(key).map(|stored| stored.value.clone())
     }
 
     pub fn revision(&self, key: &str) -> Option<u64> {
-        self.0.borrow().items.get(key).map(|held| held.revision)
+        self.0.borrow().items.get(key).map(|stored| stored.revision)
     }
 
     pub fn commits(&self) -> usize {
@@ -200,9 +200,9 @@
         self.request_maintenance_of(1);
     }
 
-    /// A wave asks for so many machines at once.
+    /// Starts a maintenance wave of this many machines.
     pub fn request_maintenance_of(&self, machines: usize) {
-        self.0.borrow_mut().due = machines;
+        self.0.borrow_mut().machines_due = machines;
         self.put("wave/1", b"");
     }
 
@@ -214,17 +214,17 @@
         self.0.borrow().listings
     }
 
-    /// Listings of a prefix, without those that a watch makes here.
+    /// Returns the number of listings of a prefix, excluding the watches' own.
     pub fn listings_of(&self, prefix: &str) -> usize {
         self.0.borrow().listings_of.get(prefix).copied().unwrap_or(0)
     }
 
-    /// Bytes of the values that listings have returned.
+    /// Returns the number of bytes of the values that listings have returned.
     pub fn listed_bytes(&self) -> usize {
         self.0.borrow().listed_bytes
     }
 
-    /// Readings of an item, without those that a watch makes here.
+    /// Returns the number of reads of an item, excluding the watches' own.
     pub fn reads_of(&self, key: &str) -> usize {
         self.0.borrow().reads_of.get(key).copied().unwrap_or(0)
     }
@@ -242,10 +242,10 @@
         self.0.borrow_mut().listings += 1;
         let state = self.0.borrow();
         let items = state.items.iter().filter(|(key, _)| key.starts_with(prefix));
-        let items = items.map(|(key, held)| Item {
+        let items = items.map(|(key, stored)| Item {
             key: key.clone(),
-            value: held.value.clone(),
-            revision: held.revision,
+            value: stored.value.clone(),
+            revision: stored.revision,
         });
         Ok(Listing { items: items.collect(), revision: state.revision })
     }
@@ -261,7 +261,7 @@
             .collect();
         for lease in ended {
             state.leases.remove(&lease);
-            state.items.retain(|_, held| held.lease != Some(lease));
+            state.items.retain(|_, stored| stored.lease != Some(lease));
         }
     }
 
@@ -269,12 +269,12 @@
         self.expire();
         let mut state = self.0.borrow_mut();
         let holds = transaction.expect.iter().all(|(key, revision)| {
-            state.items.get(key).map_or(0, |held| held.revision) == *revision
+            state.items.get(key).map_or(0, |stored| stored.revision) == *revision
         });
         if !holds {
             let items = transaction.expect.iter().filter_map(|(key, _)| {
-                let held = state.items.get(key)?;
-                let (value, revision) = (held.value.clone(), held.revision);
+                let stored = state.items.get(key)?;
+                let (value, revision) = (stored.value.clone(), stored.revision);
                 Some(Item { key: key.clone(), value, revision })
             });
             return TransactionOutcome::Conflict(items.collect());
@@ -282,8 +282,8 @@
         state.revision += 1;
         let revision = state.revision;
         for (key, value, lease) in &transaction.puts {
-            let held = Held { value: value.clone(), revision, lease: *lease };
-            state.items.insert(key.clone(), held);
+            let stored = StoredItem { value: value.clone(), revision, lease: *lease };
+            state.items.insert(key.clone(), stored);
         }
         for key in &transaction.removes {
             state.items.remove(key);
@@ -291,15 +291,15 @@
         TransactionOutcome::Committed(revision)
     }
 
-    /// Serves one reading of an item in so many and turns the others away, as a rate limit does.
-    pub fn serve_one_in(&self, readings: usize) {
-        self.0.borrow_mut().serves_one_in = readings;
+    /// Serves one read of an item in this many and refuses the others, as a rate limit does.
+    pub fn serve_one_in(&self, reads: usize) {
+        self.0.borrow_mut().serves_one_in = reads;
     }
 
     fn check_rate(&self) -> CallResult<()> {
         let state = self.0.borrow();
         if state.serves_one_in > 1 && !state.reads.is_multiple_of(state.serves_one_in) {
-            return Err(CallError::NotDone { reason: "too many readings".to_owned() });
+            return Err(CallError::NotDone { reason: "too many reads".to_owned() });
         }
         Ok(())
     }
@@ -328,10 +328,10 @@
         self.check_up()?;
         self.check_rate()?;
         self.expire();
-        let item = self.0.borrow().items.get(key).map(|held| Item {
+        let item = self.0.borrow().items.get(key).map(|stored| Item {
             key: key.to_owned(),
-            value: held.value.clone(),
-            revision: held.revision,
+            value: stored.value.clone(),
+            revision: stored.revision,
         });
         self.half_round_trip().await;
         Ok(item)
@@ -353,23 +353,23 @@
     async fn watch(&self, prefix: &str, after: u64, wait: Duration) -> CallResult<Changes> {
         let until = clock::now() + wait;
         self.0.borrow_mut().watches += 1;
-        if self.0.borrow().is_cutting {
+        if self.0.borrow().do_watches_end_at_once {
             return Ok(Changes { changes: Vec::new(), revision: after });
         }
         loop {
             let listing = self.items_under(prefix)?;
-            let news: Vec<Change> = listing
+            let changes: Vec<Change> = listing
                 .items
                 .into_iter()
                 .filter(|item| item.revision > after)
                 .map(Change::Put)
                 .collect();
-            let is_deaf = self.0.borrow().is_deaf;
-            if is_deaf && clock::now() > until {
+            let are_watches_stalled = self.0.borrow().are_watches_stalled;
+            if are_watches_stalled && clock::now() > until {
                 return Ok(Changes { changes: Vec::new(), revision: after });
             }
-            if !is_deaf && (!news.is_empty() || clock::now() > until) {
-                return Ok(Changes { changes: news, revision: listing.revision });
+            if !are_watches_stalled && (!changes.is_empty() || clock::now() > until) {
+                return Ok(Changes { changes, revision: listing.revision });
             }
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
@@ -379,9 +379,9 @@
         self.half_round_trip().await;
         self.check_up()?;
         self.0.borrow_mut().commits += 1;
-        let fate = self.0.borrow_mut().fates.pop_front();
+        let fault = self.0.borrow_mut().write_faults.pop_front();
         let unanswered = Err(CallError::Unanswered { reason: "lost".to_owned() });
-        match fate {
+        match fault {
             None => {
                 let end = self.apply(transaction);
                 self.half_round_trip().await;
@@ -392,12 +392,12 @@
                 unanswered
             }
             Some(WriteFault::Delayed) => {
-                self.0.borrow_mut().late.push(transaction.clone());
+                self.0.borrow_mut().delayed.push(transaction.clone());
                 unanswered
             }
             Some(WriteFault::Lost) => unanswered,
             Some(WriteFault::Hangs) => {
-                tokio::time::sleep(CALL_PATIENCE).await;
+                tokio::time::sleep(CALL_TIMEOUT).await;
                 unanswered
             }
             Some(WriteFault::Refused) => Err(CallError::NotDone { reason: "busy".to_owned() }),
@@ -430,7 +430,7 @@
         self.check_up()?;
         let mut state = self.0.borrow_mut();
         state.leases.remove(&lease);
-        state.items.retain(|_, held| held.lease != Some(lease));
+        state.items.retain(|_, stored| stored.lease != Some(lease));
         Ok(())
     }
 }
--- a/crates/jackdawpier_entry/tests/support/fake/outside.rs
+++ b/crates/jackdawpier_entry/tests/support/fake/outside.rs
@@ -50,10 +50,10 @@
         true
     }
 
-    async fn hold(&self, _: &OrderTarget, question: &HoldRequest) -> CallResult<HoldReport> {
+    async fn hold(&self, _: &OrderTarget, request: &HoldRequest) -> CallResult<HoldReport> {
         tokio::time::sleep(Duration::from_millis(5)).await;
         let mut state = self.0.borrow_mut();
-        state.ended.retain(|end| end.sequence > question.acknowledged);
+        state.ended.retain(|end| end.sequence > request.acknowledged);
         let ended = state.ended.clone();
         Ok(HoldReport { incarnation: None, clock: clock::now(), running: Vec::new(), ended })
     }
@@ -68,7 +68,7 @@
             executor: (number == 1).then(|| EXECUTOR.into()),
             labels: Vec::new(),
         };
-        Ok((1..=self.0.borrow().due).map(info).collect())
+        Ok((1..=self.0.borrow().machines_due).map(info).collect())
     }
 
     async fn send_order(
@@ -123,9 +123,9 @@
         }
         Ok(Wave {
             number: 1,
-            machines: (1..=self.0.borrow().due.max(1)).map(machine).collect(),
+            machines: (1..=self.0.borrow().machines_due.max(1)).map(machine).collect(),
             within: Duration::from_secs(20),
-            max_away: self.0.borrow().due.max(1),
+            max_away: self.0.borrow().machines_due.max(1),
         })
     }
 
--- a/crates/jackdawpier_entry/tests/support/mod.rs
+++ b/crates/jackdawpier_entry/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Entries on a platform in memory, and what the tests hand in and look at.
+//! Entries on an in-memory platform, and helpers to submit jobs and inspect the store.
 
 #![allow(dead_code, unreachable_pub, unused_imports, reason = "each test file uses a part of it")]
 
@@ -62,33 +62,33 @@
     }
 }
 
-/// Runs a test as an entry runs: on one thread.
+/// Runs a test on a single-threaded runtime, as an entry runs.
 pub fn run(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime needs nothing but the system");
+        .expect("the runtime can be created");
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// Where jobs are handed in, with the loop that writes them.
+/// Starts the intake of jobs with the loop that writes them.
 pub fn start_intake(fake: &Fake) -> Intake {
     let intake = Intake::default();
     tokio::task::spawn_local(write_jobs(fake.clone(), intake.clone()));
     intake
 }
 
-/// An entry that owns the fleet of one executor as soon as nobody else does.
+/// Starts an entry that owns a fleet of one executor as soon as the ownership is free.
 pub fn start_owner(fake: &Fake, entry: &str) -> (FleetHandle, tokio::task::JoinHandle<()>) {
     start_owner_with_speed(fake, entry, steady_speed())
 }
 
-/// A machine that always runs at its best.
+/// Returns the speed of a machine that always runs at full speed.
 pub fn steady_speed() -> MachineSpeed {
     MachineSpeed::new(|| Duration::from_micros(10))
 }
 
-/// The same on a machine with this speed.
+/// As [`start_owner`], on a machine with this speed.
 pub fn start_owner_with_speed(
     fake: &Fake,
     entry: &str,
@@ -111,10 +111,10 @@
     (cell, tokio::task::spawn_local(owning))
 }
 
-/// Waits for something for six seconds at most and returns whether it came.
-pub async fn wait_until(mut is_so: impl FnMut() -> bool) -> bool {
+/// Waits for a condition for at most six seconds and returns whether it became true.
+pub async fn wait_until(mut condition: impl FnMut() -> bool) -> bool {
     for _ in 0..600 {
-        if is_so() {
+        if condition() {
             return true;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -122,14 +122,14 @@
     false
 }
 
-/// Hands a job in, as an entry would.
+/// Submits a job, as an entry would.
 pub fn put_job(fake: &Fake, id: &str) {
-    let value = serde_json::to_vec(&submission()).expect("it is plain data");
+    let value = serde_json::to_vec(&submission()).expect("a submission can be written as JSON");
     fake.put(&keys::submission(id), &value);
 }
 
-/// The durable outcome of a job.
+/// Returns the durable outcome of a job.
 pub fn outcome(fake: &Fake, id: &str) -> Option<JobOutcome> {
     let value = fake.value(&keys::record(id))?;
-    serde_json::from_slice::<JobRecord>(&value).expect("the owner wrote it").outcome
+    serde_json::from_slice::<JobRecord>(&value).expect("the owner writes readable records").outcome
 }
