--- a/crates/jackdawpier_entry/src/connections.rs
+++ b/crates/jackdawpier_entry/src/connections.rs
@@ -1,4 +1,4 @@
-//! Open connections of a port: which are idle, how long they may be, and which make room for others.
+//! The open connections of a port: tracks which are idle, closes overdue ones, and evicts idle ones at the limit.
 //!
 //! Design: `docs/design/callers-port.md`.
 
@@ -15,47 +15,46 @@
 
 use crate::clock;
 
-/// Half of the descriptors of the smallest machine.
-const MOST_CONNECTIONS: usize = 1500;
+/// Half of the file descriptors of the smallest machine.
+const DEFAULT_MAX_OPEN: usize = 1500;
 const DEFAULT_HEADER_TIMEOUT: Duration = Duration::from_secs(15);
-/// Idle time of a connection where the configuration doesn't say.
+/// Idle timeout of a connection if the configuration contains none.
 pub const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(15);
-/// A request that was sent within the idle timeout has this long to arrive; by then its caller has
-/// given up waiting for the answer.
-const IDLE_MARGIN: Duration = Duration::from_secs(3);
-/// A connection that was used within this time doesn't make room: its caller's next request may be on
-/// its way.
-const SHORTEST_IDLE: Duration = Duration::from_millis(100);
-/// Shortest pause between two looks for overdue connections.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(10);
+/// Time for a request that was sent within the idle timeout to arrive; after that its caller no longer waits
+/// for the answer.
+const DEFAULT_IDLE_MARGIN: Duration = Duration::from_secs(3);
+/// A connection that was used within this time isn't evicted: its caller's next request may be in transit.
+const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_millis(100);
+/// Minimum delay between two checks for overdue connections.
+const MIN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Limits of a port.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionLimits {
-    /// Open connections; beyond it the one that has been idle longest makes room for a new one.
+    /// Maximum number of open connections; at this limit the longest idle one is closed for a new one.
     pub max_open: usize,
-    /// Time for a head to be whole after its first byte.
+    /// Time from the first byte of a request head until it is complete.
     pub header_timeout: Duration,
-    /// Time for which callers may count on an idle connection, and for an answer to be taken.
+    /// Time for which callers may use an idle connection, and within which an answer has to be received.
     pub idle_timeout: Duration,
-    /// Time after `idle_timeout` for which an idle connection stays open, since what was sent on it
-    /// in time may still be on its way.
+    /// Time after `idle_timeout` for which an idle connection stays open, since a request that was sent in time
+    /// may still be in transit.
     pub idle_margin: Duration,
 }
 
 impl Default for ConnectionLimits {
     fn default() -> Self {
         Self {
-            max_open: MOST_CONNECTIONS,
+            max_open: DEFAULT_MAX_OPEN,
             header_timeout: DEFAULT_HEADER_TIMEOUT,
             idle_timeout: DEFAULT_IDLE_TIMEOUT,
-            idle_margin: IDLE_MARGIN,
+            idle_margin: DEFAULT_IDLE_MARGIN,
         }
     }
 }
 
 impl ConnectionLimits {
-    fn of_phase(&self, phase: Phase) -> Duration {
+    fn timeout_of(&self, phase: Phase) -> Duration {
         match phase {
             Phase::Head => self.header_timeout,
             Phase::Idle | Phase::Busy | Phase::Answered => {
@@ -65,62 +64,62 @@
     }
 }
 
-/// Connections by what became of them.
+/// Numbers of connections that are open or were closed, by reason.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ConnectionCounts {
-    /// Open now.
+    /// Currently open connections.
     pub open: usize,
-    /// Closed after the idle timeout.
+    /// Connections closed after the idle timeout.
     pub idle_closed: u64,
-    /// Idle ones closed to make room.
+    /// Idle connections closed to make room for new ones.
     pub evicted: u64,
-    /// Broken off, since the rest of a head didn't come or an answer wasn't taken.
+    /// Connections aborted because a head wasn't completed or an answer wasn't received in time.
     pub aborted: u64,
 }
 
-/// What a connection is in the middle of.
+/// The phase of a connection in its request cycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Phase {
-    /// Nothing: no byte of a request has come since the last answer.
+    /// No byte of a request has been received since the last answer.
     Idle,
-    /// A head has begun.
+    /// Part of a request head has been received.
     Head,
     /// A request is being answered.
     Busy,
-    /// The answer is ready, but part of it may not have left.
+    /// The answer is ready, but may not be sent completely.
     Answered,
 }
 
-/// Why a connection is to end. It goes on if a request has arrived before it is closed.
+/// Why a connection is to be closed. It stays open if a request arrives before that.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Ending {
+enum CloseReason {
     Overdue,
-    Room,
-    Stop,
+    Evicted,
+    Shutdown,
 }
 
-/// What a connection does about its ending.
+/// How a connection is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Close {
-    /// Close in order: nothing is left to be answered.
-    InOrder,
-    /// Break it off.
-    BreakOff,
+pub(crate) enum CloseMode {
+    /// Closes gracefully: no request is unanswered.
+    Graceful,
+    /// Aborts the connection.
+    Abort,
 }
 
 type ConnectionId = u64;
 
-/// Place among the connections that wait for their peers; the longest wait of a phase stands first.
+/// Sort key of the connections that wait for their peers: by phase, then the longest wait first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct WaitKey {
     phase: Phase,
     since: Now,
     id: ConnectionId,
 }
 
-impl Place {
-    /// The place before all others of a phase.
-    fn first(phase: Phase) -> Self {
+impl WaitKey {
+    /// Returns the lowest key of a phase.
+    fn lowest(phase: Phase) -> Self {
         Self { phase, since: Now::ZERO, id: 0 }
     }
 }
@@ -129,19 +128,19 @@
 struct State {
     id: ConnectionId,
     phase: Cell<Phase>,
-    /// Begin of the phase, once the connection has had to wait in it.
+    /// Begin of the first wait in the current phase.
     since: Cell<Option<Now>>,
     is_waiting: Cell<bool>,
-    ending: Cell<Option<Ending>>,
+    close_reason: Cell<Option<CloseReason>>,
     waker: RefCell<Option<Waker>>,
 }
 
 #[derive(Debug, Default)]
 struct Shared {
-    waiting: RefCell<BTreeMap<Place, Rc<State>>>,
+    waiting: RefCell<BTreeMap<WaitKey, Rc<State>>>,
     counts: Cell<ConnectionCounts>,
     last_id: Cell<ConnectionId>,
-    /// A connection has ended, or goes on though it was to end.
+    /// Notified when a connection was closed, or when its closing was cancelled.
     changed: Notify,
     is_closed: Cell<bool>,
     closed: Notify,
@@ -152,27 +151,27 @@
 pub struct Connections(Rc<Shared>);
 
 impl Connections {
-    /// Number of open connections, and what became of others.
+    /// Returns the numbers of open and closed connections.
     pub fn counts(&self) -> ConnectionCounts {
         self.0.counts.get()
     }
 
-    /// Ends the port: takes no new connections, closes the idle ones in order, and lets requests that
-    /// have arrived be answered until `end_by`.
-    pub async fn close(&self, end_by: Now) {
+    /// Closes the port: accepts no new connections, closes the idle ones gracefully, and waits until `deadline`
+    /// for requests that have arrived to be answered.
+    pub async fn close(&self, deadline: Now) {
         self.0.is_closed.set(true);
         self.0.closed.notify_waiters();
-        while let Some(place) = self.0.first(Phase::Idle) {
-            self.0.end(place, Ending::Stop);
+        while let Some(key) = self.0.longest_waiting(Phase::Idle) {
+            self.0.request_close(key, CloseReason::Shutdown);
         }
         loop {
             let changed = self.0.changed.notified();
             let now = clock::now();
-            if now >= end_by || self.counts().open <= self.0.half_sent() {
+            if now >= deadline || self.counts().open <= self.0.partial_heads() {
                 return;
             }
-            // Elapsed time is seen above.
-            let _ = timeout(end_by.saturating_sub(now), changed).await;
+            // The loop checks for the deadline.
+            let _ = timeout(deadline.saturating_sub(now), changed).await;
         }
     }
 
@@ -184,104 +183,104 @@
         }
     }
 
-    /// Takes a new connection in.
+    /// Registers a new connection.
     pub(crate) fn open(&self) -> Connection {
         let shared = self.0.clone();
         shared.last_id.set(shared.last_id.get() + 1);
-        shared.count(|counts| counts.open += 1);
+        shared.update_counts(|counts| counts.open += 1);
         let state = State {
             id: shared.last_id.get(),
             phase: Cell::new(Phase::Idle),
             since: Cell::new(None),
             is_waiting: Cell::new(false),
-            ending: Cell::new(None),
+            close_reason: Cell::new(None),
             waker: RefCell::default(),
         };
         let connection = Connection { shared, state: Rc::new(state) };
-        connection.wait_in(Phase::Idle);
+        connection.start_waiting(Phase::Idle);
         connection
     }
 
-    /// Waits until fewer than `most` connections are open, and has idle ones closed for that.
-    pub(crate) async fn make_room(&self, most: usize) {
-        while self.counts().open >= most {
-            self.close_longest_idle(SHORTEST_IDLE).await;
+    /// Evicts idle connections until fewer than `max_open` are open.
+    pub(crate) async fn evict_idle(&self, max_open: usize) {
+        while self.counts().open >= max_open {
+            self.evict_longest_idle(MIN_IDLE_BEFORE_EVICTION).await;
         }
     }
 
-    /// Has the connection closed that has been idle longest, unless it was used a moment ago, and waits
-    /// until any connection has ended, but not for longer than `patience`.
-    pub(crate) async fn close_longest_idle(&self, patience: Duration) {
+    /// Evicts the connection that has been idle longest, unless it was used very recently, and waits up to
+    /// `max_wait` until any connection is closed.
+    pub(crate) async fn evict_longest_idle(&self, max_wait: Duration) {
         let changed = self.0.changed.notified();
-        if let Some(place) = self.0.first(Phase::Idle)
-            && clock::since(place.since) >= SHORTEST_IDLE
+        if let Some(key) = self.0.longest_waiting(Phase::Idle)
+            && clock::since(key.since) >= MIN_IDLE_BEFORE_EVICTION
         {
-            self.0.end(place, Ending::Room);
+            self.0.request_close(key, CloseReason::Evicted);
         }
-        // Whoever asked looks whether there is room now.
-        let _ = timeout(patience, changed).await;
+        // The caller checks whether there is room.
+        let _ = timeout(max_wait, changed).await;
     }
 
-    /// Ends connections that have waited for too long, for ever. Changed limits count from the next
-    /// look, which is never later than the shortest of the former ones.
+    /// Closes connections that have waited for too long, until it is cancelled. Changed limits apply from the
+    /// next check, which is due at the latest after the shortest of the previous limits.
     pub(crate) async fn close_overdue(&self, limits: impl Fn() -> ConnectionLimits) {
         loop {
             let (limits, now) = (limits(), clock::now());
-            let pause = [Phase::Idle, Phase::Head, Phase::Answered]
-                .map(|phase| self.0.close_overdue(phase, now, limits.of_phase(phase)));
-            let pause = pause.into_iter().min().unwrap_or_default();
-            tokio::time::sleep(pause.max(SHORTEST_PAUSE)).await;
+            let delays = [Phase::Idle, Phase::Head, Phase::Answered]
+                .map(|phase| self.0.close_overdue(phase, now, limits.timeout_of(phase)));
+            let delay = delays.into_iter().min().unwrap_or_default();
+            tokio::time::sleep(delay.max(MIN_CHECK_INTERVAL)).await;
         }
     }
 }
 
 impl Shared {
-    fn count(&self, change: impl FnOnce(&mut ConnectionCounts)) {
+    fn update_counts(&self, change: impl FnOnce(&mut ConnectionCounts)) {
         let mut counts = self.counts.get();
         change(&mut counts);
         self.counts.set(counts);
     }
 
-    /// The connection that has waited longest in a phase.
-    fn first(&self, phase: Phase) -> Option<Place> {
+    /// Returns the connection that has waited longest in a phase.
+    fn longest_waiting(&self, phase: Phase) -> Option<WaitKey> {
         let waiting = self.waiting.borrow();
-        let (place, _) = waiting.range(Place::first(phase)..).next()?;
-        (place.phase == phase).then_some(*place)
+        let (key, _) = waiting.range(WaitKey::lowest(phase)..).next()?;
+        (key.phase == phase).then_some(*key)
     }
 
-    /// Number of connections whose peers have sent a part of a head.
-    fn half_sent(&self) -> usize {
+    /// Returns the number of connections that have received a part of a request head.
+    fn partial_heads(&self) -> usize {
         let waiting = self.waiting.borrow();
-        waiting.range(Place::first(Phase::Head)..Place::first(Phase::Busy)).count()
+        waiting.range(WaitKey::lowest(Phase::Head)..WaitKey::lowest(Phase::Busy)).count()
     }
 
-    /// Ends the connections that have waited in a phase for `limit`; returns the time until the next
-    /// one may have.
+    /// Closes the connections that have waited in a phase for `limit`; returns the time until the next one may
+    /// be overdue.
     fn close_overdue(&self, phase: Phase, now: Now, limit: Duration) -> Duration {
-        while let Some(place) = self.first(phase) {
-            let left = limit.saturating_sub(now.saturating_sub(place.since));
-            if !left.is_zero() {
-                return left;
+        while let Some(key) = self.longest_waiting(phase) {
+            let time_left = limit.saturating_sub(now.saturating_sub(key.since));
+            if !time_left.is_zero() {
+                return time_left;
             }
-            self.end(place, Ending::Overdue);
+            self.request_close(key, CloseReason::Overdue);
         }
         limit
     }
 
-    /// Tells a waiting connection to end.
-    fn end(&self, place: Place, ending: Ending) {
-        let Some(state) = self.waiting.borrow_mut().remove(&place) else {
+    /// Requests that a waiting connection closes.
+    fn request_close(&self, key: WaitKey, close_reason: CloseReason) {
+        let Some(state) = self.waiting.borrow_mut().remove(&key) else {
             return;
         };
         state.is_waiting.set(false);
-        state.ending.set(Some(ending));
+        state.close_reason.set(Some(close_reason));
         if let Some(waker) = &*state.waker.borrow() {
             waker.wake_by_ref();
         }
     }
 }
 
-/// An open connection, from its acceptance to its end.
+/// An open connection; deregistered on drop.
 #[derive(Debug)]
 pub(crate) struct Connection {
     shared: Rc<Shared>,
@@ -289,102 +288,104 @@
 }
 
 impl Connection {
-    /// Notes the task that serves it.
+    /// Sets the waker of the task that serves the connection.
     pub(crate) fn set_waker(&self, waker: &Waker) {
         *self.state.waker.borrow_mut() = Some(waker.clone());
     }
 
-    /// Bytes have come.
-    pub(crate) fn received(&self) {
+    /// Notes that bytes were received.
+    pub(crate) fn on_bytes_received(&self) {
         if self.state.phase.get() == Phase::Idle {
-            self.enter(Phase::Head);
+            self.enter_phase(Phase::Head);
         }
     }
 
-    /// A request is whole as far as its head goes.
-    pub(crate) fn begin(&self) {
-        self.enter(Phase::Busy);
+    /// Notes that a request head is complete.
+    pub(crate) fn on_request(&self) {
+        self.enter_phase(Phase::Busy);
     }
 
-    /// The answer to a request is ready.
-    pub(crate) fn answer(&self) {
-        self.enter(Phase::Answered);
+    /// Notes that the answer to a request is ready.
+    pub(crate) fn on_answer_ready(&self) {
+        self.enter_phase(Phase::Answered);
     }
 
-    /// All that was ready has left.
-    pub(crate) fn flushed(&self) {
+    /// Notes that all buffered bytes were sent.
+    pub(crate) fn on_flushed(&self) {
         if self.state.phase.get() != Phase::Answered {
             return;
         }
-        self.enter(Phase::Idle);
+        self.enter_phase(Phase::Idle);
         if self.shared.is_closed.get() {
-            self.state.ending.set(Some(Ending::Stop));
+            self.state.close_reason.set(Some(CloseReason::Shutdown));
         }
-        self.wait_in(Phase::Idle);
+        self.start_waiting(Phase::Idle);
     }
 
-    /// No byte has come that the port knows of. Returns whether the connection is to end.
-    pub(crate) fn wait_for_bytes(&self) -> bool {
-        self.wait_in(Phase::Head);
-        self.state.ending.get().is_some()
+    /// Notes that no byte can be read now. Returns whether the connection is to be closed.
+    pub(crate) fn on_read_pending(&self) -> bool {
+        self.start_waiting(Phase::Head);
+        self.state.close_reason.get().is_some()
     }
 
-    /// The peer doesn't take more bytes. Returns whether the connection is to end.
-    pub(crate) fn wait_for_peer(&self) -> bool {
-        self.wait_in(Phase::Answered);
-        self.state.ending.get().is_some()
+    /// Notes that no byte can be written now. Returns whether the connection is to be closed.
+    pub(crate) fn on_write_pending(&self) -> bool {
+        self.start_waiting(Phase::Answered);
+        self.state.close_reason.get().is_some()
     }
 
-    /// The connection was to end, but bytes have come.
-    pub(crate) fn go_on(&self) {
-        self.clear_ending();
-        self.received();
+    /// Cancels the closing of the connection because bytes have arrived.
+    pub(crate) fn cancel_close(&self) {
+        self.clear_close_reason();
+        self.on_bytes_received();
     }
 
-    /// Ends the connection as it was told to.
-    pub(crate) fn close(&self) -> Close {
+    /// Counts the connection as closed and returns how to close it.
+    pub(crate) fn close(&self) -> CloseMode {
         let is_idle = self.state.phase.get() == Phase::Idle;
-        self.shared.count(|counts| match self.state.ending.get() {
-            Some(Ending::Overdue) if is_idle => counts.idle_closed += 1,
-            Some(Ending::Overdue) => counts.aborted += 1,
-            Some(Ending::Room) => counts.evicted += 1,
-            Some(Ending::Stop) | None => {}
+        self.shared.update_counts(|counts| match self.state.close_reason.get() {
+            Some(CloseReason::Overdue) if is_idle => counts.idle_closed += 1,
+            Some(CloseReason::Overdue) => counts.aborted += 1,
+            Some(CloseReason::Evicted) => counts.evicted += 1,
+            Some(CloseReason::Shutdown) | None => {}
         });
-        if is_idle { Close::InOrder } else { Close::BreakOff }
+        if is_idle { CloseMode::Graceful } else { CloseMode::Abort }
     }
 
-    fn enter(&self, phase: Phase) {
+    fn enter_phase(&self, phase: Phase) {
         self.stop_waiting();
-        self.clear_ending();
+        self.clear_close_reason();
         self.state.since.set(None);
         self.state.phase.set(phase);
     }
 
-    fn clear_ending(&self) {
-        if self.state.ending.take().is_some() {
+    fn clear_close_reason(&self) {
+        if self.state.close_reason.take().is_some() {
             self.shared.changed.notify_waiters();
         }
     }
 
-    /// Takes a place among the waiting ones if it is in this phase. One that is ending has left its
-    /// place for good.
-    fn wait_in(&self, phase: Phase) {
+    /// Registers the connection as waiting if it is in this phase, unless it is being closed.
+    fn start_waiting(&self, phase: Phase) {
         let state = &self.state;
-        if state.phase.get() != phase || state.is_waiting.get() || state.ending.get().is_some() {
+        if state.phase.get() != phase
+            || state.is_waiting.get()
+            || state.close_reason.get().is_some()
+        {
             return;
         }
         let since = state.since.get().unwrap_or_else(clock::now);
         state.since.set(Some(since));
         state.is_waiting.set(true);
-        let place = Place { phase, since, id: state.id };
-        self.shared.waiting.borrow_mut().insert(place, state.clone());
+        let key = WaitKey { phase, since, id: state.id };
+        self.shared.waiting.borrow_mut().insert(key, state.clone());
     }
 
     fn stop_waiting(&self) {
         let state = &self.state;
         if let Some(since) = state.since.get().filter(|_| state.is_waiting.replace(false)) {
-            let place = Place { phase: state.phase.get(), since, id: state.id };
-            self.shared.waiting.borrow_mut().remove(&place);
+            let key = WaitKey { phase: state.phase.get(), since, id: state.id };
+            self.shared.waiting.borrow_mut().remove(&key);
         }
     }
 }
@@ -392,7 +393,7 @@
 impl Drop for Connection {
     fn drop(&mut self) {
         self.stop_waiting();
-        self.shared.count(|counts| counts.open -= 1);
+        self.shared.update_counts(|counts| counts.open -= 1);
         self.shared.changed.notify_waiters();
     }
 }
--- a/crates/jackdawpier_entry/src/http_server.rs
+++ b/crates/jackdawpier_entry/src/http_server.rs
@@ -123,14 +123,14 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                connections.make_room(limits().max_open).await;
+                connections.evict_idle(limits().max_open).await;
                 serve_stream(stream);
             }
             Err(error)
                 if SendFailure::from_io(&error) == SendFailure::NoDescriptor
                     && is_readable(listener) =>
             {
-                connections.close_longest_idle(ACCEPT_RETRY_DELAY).await;
+                connections.evict_longest_idle(ACCEPT_RETRY_DELAY).await;
             }
             Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
@@ -157,7 +157,7 @@
     .await;
     let stream = WatchedStream::new(stream, connection.clone());
     let service = service_fn(move |request| {
-        connection.begin();
+        connection.on_request();
         let guard = InFlightGuard::new(in_flight.clone());
         let reply = handler(request);
         let (connection, stopping) = (connection.clone(), stopping.clone());
@@ -166,7 +166,7 @@
             if *stopping.borrow() {
                 reply.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             }
-            connection.answer();
+            connection.on_answer_ready();
             drop(guard);
             Ok::<_, std::convert::Infallible>(reply)
         }
--- a/crates/jackdawpier_entry/src/lib.rs
+++ b/crates/jackdawpier_entry/src/lib.rs
@@ -1,9 +1,8 @@
 //! The entry process: every instance runs this one role.
 //!
-//! Each entry takes in jobs, answers for them and applies the configuration; one of them at a time
-//! owns the fleet and carries out the decisions of `jackdawpier_fleet`. All that must last lies in
-//! the store. What is spoken to the outside is behind the traits of [`ports`]. See
-//! `docs/design/platform.md`.
+//! Each entry accepts jobs, answers queries about them and applies the configuration. One entry at a time owns
+//! the fleet and carries out the decisions of `jackdawpier_fleet`. All durable state is in the store. The
+//! protocols of the platform are implemented behind the traits of [`ports`]. See `docs/design/platform.md`.
 
 pub mod acceptance;
 pub mod access;
--- a/crates/jackdawpier_entry/src/metrics.rs
+++ b/crates/jackdawpier_entry/src/metrics.rs
@@ -1,7 +1,7 @@
-//! Counters and latency histograms, served as text on the address that the settings give.
+//! Counters and latency histograms, served as text at the address in the settings.
 //!
-//! Each log line counts here under its event and outcome, also where its rate kept it out of the
-//! log, so counts are whole while the log's volume is bounded.
+//! Each event is counted by its kind and outcome, also if its log line is suppressed, so the counts are complete
+//! while the volume of the log is bounded.
 
 use std::{
     cell::RefCell,
@@ -34,18 +34,18 @@
     why: &'static str,
 }
 
-/// What took how long.
+/// The measured latencies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Latency {
-    /// From a job's arrival to the store's word.
+    /// From the arrival of a job to its acceptance or refusal.
     Acceptance,
-    /// From the first try to write a group of records until it is durable.
+    /// From the first attempt to write a group of records until it is durable.
     Write,
-    /// From an order to start until its outcome, repeats included.
+    /// From an order to start a task until its outcome, including retries.
     Start,
-    /// From a take-over's begin until the state is rebuilt.
+    /// From the begin of a takeover until the state is rebuilt.
     TakeOver,
-    /// From the arrival of a question for a job to its answer.
+    /// From the arrival of a query for a job to its answer.
     JobQuery,
 }
 
@@ -74,10 +74,10 @@
     }
 }
 
-/// The shortest time that is told apart, in seconds.
-const SHORTEST_S: f64 = 0.001;
-/// Buckets, each twice as long as the one before: up to eight seconds.
-const BUCKETS: u16 = 14;
+/// Upper bound of the first bucket, in seconds.
+const FIRST_BUCKET_S: f64 = 0.001;
+/// Number of buckets, each twice as long as the previous one, up to eight seconds.
+const BUCKET_COUNT: u16 = 14;
 
 #[derive(Debug)]
 struct Inner {
@@ -111,7 +111,7 @@
         let help = "Connections of the callers' port that this entry ended, by reason";
         registry.register("closed_connections", help, closed_connections.clone());
         let latencies = Latency::ALL.map(|latency| {
-            let histogram = Histogram::new(exponential_buckets(SHORTEST_S, 2.0, BUCKETS));
+            let histogram = Histogram::new(exponential_buckets(FIRST_BUCKET_S, 2.0, BUCKET_COUNT));
             let (name, help) = (latency.name(), latency.help());
             registry.register_with_unit(name, help, Unit::Seconds, histogram.clone());
             histogram
@@ -136,24 +136,24 @@
         self.0.borrow().events.get_or_create(&labels).inc();
     }
 
-    /// Notes how long something took.
+    /// Records a latency.
     pub fn observe(&self, latency: Latency, time: Duration) {
-        let place = Latency::ALL.iter().position(|one| *one == latency);
-        let place = place.expect("every latency is in the list");
-        self.0.borrow().latencies[place].observe(time.as_secs_f64());
+        let index = Latency::ALL.iter().position(|one| *one == latency);
+        let index = index.expect("every latency is in the list");
+        self.0.borrow().latencies[index].observe(time.as_secs_f64());
     }
 
-    /// Notes whether this entry owns the fleet.
+    /// Sets whether this entry owns the fleet.
     pub fn set_owner(&self, is_owner: bool) {
         self.0.borrow().is_owner.set(i64::from(is_owner));
     }
 
-    /// Notes how long ago the configuration was last known to be the newest, if that is asked.
+    /// Sets how long ago the configuration was last known to be the newest; none if keys aren't required.
     pub fn set_proof_age(&self, age: Option<Duration>) {
         self.0.borrow().proof_age.set(age.unwrap_or_default().as_secs_f64());
     }
 
-    /// Notes the connections of the callers' port.
+    /// Sets the numbers of connections of the callers' port.
     pub fn set_connections(&self, counts: ConnectionCounts) {
         let inner = self.0.borrow();
         inner.open_connections.set(counts.open as i64);
@@ -168,7 +168,7 @@
         }
     }
 
-    /// All metrics in the text format.
+    /// Returns all metrics in the text format.
     pub fn text(&self) -> String {
         let mut text = String::new();
         encode(&mut text, &self.0.borrow().registry).expect("writing to a string can't fail");
--- a/crates/jackdawpier_entry/src/settings.rs
+++ b/crates/jackdawpier_entry/src/settings.rs
@@ -1,39 +1,39 @@
-//! What a process has to know at its start.
+//! Settings of an entry that are fixed while its process runs.
 
 use std::{net::SocketAddr, time::Duration};
 
 /// The settings of an entry.
 #[derive(Debug, Clone)]
 pub struct EntrySettings {
-    /// Name of the entry, unique among live ones.
+    /// Name of the entry, unique among running ones.
     pub entry: String,
     /// Share of a core that the process may use.
     pub cpu_share: f64,
-    /// Bandwidth of its link, in megabits a second.
+    /// Bandwidth of its link, in megabits per second.
     pub link_mbps: f64,
-    /// Where callers connect.
+    /// Address of the port for callers.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether the entry takes connections.
+    /// Address of the readiness check of the load balancer.
     pub ready: SocketAddr,
-    /// Where metrics are served, if anywhere.
+    /// Address at which metrics are served; none to serve none.
     pub metrics: Option<SocketAddr>,
-    /// Time from the request to stop until the process is killed.
+    /// Time from the request to shut down until the process is killed.
     pub shutdown_grace: Duration,
-    /// Longest lease that executors accept for what they run.
+    /// Maximum lease that executors accept for their tasks.
     pub max_lease: Duration,
-    /// An executor needs at most this long to stop a task.
+    /// Maximum time that an executor needs to stop a task.
     pub stop_timeout: Duration,
-    /// How long a machine is away for maintenance.
+    /// How long a machine is unavailable during maintenance.
     pub maintenance_duration: Duration,
-    /// A task away from its data takes this many times as long.
+    /// Factor by which a task takes longer away from its data.
     pub remote_factor: f64,
-    /// Holders of machine orders must not take turns within this time.
+    /// Minimum time before another entry may order a machine that one entry has ordered.
     pub order_lease: Duration,
-    /// Shortest time to live of a lease that the store grants.
+    /// Minimum time to live of the leases that the store grants.
     pub min_lease_ttl: Duration,
-    /// A key that was taken away serves nobody this long after, whatever the entry hears of it; none
-    /// where that is no promise.
+    /// Time after which a revoked key must be rejected, even if the entry hasn't received the revocation; none
+    /// for no limit.
     pub revocation_deadline: Option<Duration>,
-    /// How long the state of a job that is over has to be known.
+    /// How long the state of a job is kept after its end.
     pub job_retention: Duration,
 }
--- a/crates/jackdawpier_entry/src/speed.rs
+++ b/crates/jackdawpier_entry/src/speed.rs
@@ -1,25 +1,25 @@
-//! How fast this machine runs now, compared with what is usual for it.
+//! Measures the current speed of this machine relative to its usual speed.
 //!
-//! A machine that slows down for some seconds still renews its leases and answers, so nobody else takes
-//! the fleet from it, while everything waits behind its decisions. A short computation whose length is
-//! known shows it; load of our own doesn't change what it takes.
+//! An owner on a machine that slows down for some seconds still renews its lease, so no other entry takes over
+//! the fleet although its decisions are delayed. The duration of a short fixed computation shows the slowdown
+//! and doesn't depend on the load of this process.
 
 use std::{cell::RefCell, collections::VecDeque, hint::black_box, rc::Rc, time::Duration};
 
 use crate::clock;
 
-/// Measurements of which the middle counts, so that a few that were interrupted don't.
-const MEASUREMENTS: usize = 9;
-/// Measurements that tell what is usual: a quarter of them were faster than that. With 20 a second it takes
-/// nine seconds of a slow machine until its slowness passes for usual; by then another entry has the fleet.
-const REMEMBERED: usize = 240;
-/// Rounds of the computation: some 12 us, long beside the clock's steps and short beside a decision.
+/// Number of latest measurements whose median is the current duration, so that a few interrupted ones don't count.
+const CURRENT_SAMPLES: usize = 9;
+/// Number of measurements whose lower quartile is the usual duration. With 20 measurements a second, a slow
+/// machine's speed counts as usual after nine seconds; by then another entry owns the fleet.
+const WINDOW_SAMPLES: usize = 240;
+/// Rounds of the computation, about 12 us: much longer than the clock's resolution and shorter than a decision.
 const ROUNDS: u64 = 5_000;
-/// A machine at less than this part of its usual speed is slow. Frequency steps and neighbours on the same
-/// core have made a third of it for a quarter of a second; a change of owners costs as much.
+/// A machine at less than this share of its usual speed is slow. Changes of frequency and other load on the same
+/// core can reduce the speed to a third for a quarter of a second, which is also the cost of a change of owners.
 const SLOW_BELOW: f64 = 0.25;
 
-/// Takes one measurement: how long the computation takes now.
+/// Measures how long the computation takes now.
 pub fn measure() -> Duration {
     let began_at = clock::now();
     let sum = (0..ROUNDS).fold(0x9e37_79b9_7f4a_7c15_u64, |sum, round| {
@@ -29,7 +29,7 @@
     clock::since(began_at)
 }
 
-/// The speed of this machine.
+/// Tracks the speed of this machine.
 #[derive(Debug, Clone)]
 pub struct MachineSpeed {
     measure: fn() -> Duration,
@@ -38,46 +38,46 @@
 
 #[derive(Debug)]
 struct State {
-    /// The last measurements, newest last.
-    measured: VecDeque<Duration>,
+    /// The latest measurements, newest last.
+    samples: VecDeque<Duration>,
 }
 
 impl MachineSpeed {
-    /// Starts with some measurements, against which later ones are compared.
+    /// Takes the first measurements, to which later ones are compared.
     pub fn new(measure: fn() -> Duration) -> Self {
-        let state = State { measured: VecDeque::with_capacity(REMEMBERED) };
+        let state = State { samples: VecDeque::with_capacity(WINDOW_SAMPLES) };
         let speed = Self { measure, state: Rc::new(RefCell::new(state)) };
-        (0..MEASUREMENTS).for_each(|_| speed.sample());
+        (0..CURRENT_SAMPLES).for_each(|_| speed.sample());
         speed
     }
 
-    /// Takes one more measurement.
+    /// Takes a measurement.
     pub fn sample(&self) {
         let took = (self.measure)().max(Duration::from_nanos(1));
         let mut state = self.state.borrow_mut();
-        if state.measured.len() == REMEMBERED {
-            state.measured.pop_front();
+        if state.samples.len() == WINDOW_SAMPLES {
+            state.samples.pop_front();
         }
-        state.measured.push_back(took);
+        state.samples.push_back(took);
     }
 
-    /// Part of its usual speed that the machine has now.
+    /// Returns the current speed as a share of the usual speed.
     pub fn relative_speed(&self) -> f64 {
-        let measured = &self.state.borrow().measured;
-        let usual = ranked(measured.iter(), 4);
-        let now = ranked(measured.iter().rev().take(MEASUREMENTS), 2);
-        usual.as_secs_f64() / now.as_secs_f64()
+        let samples = &self.state.borrow().samples;
+        let usual = quantile(samples.iter(), 4);
+        let current = quantile(samples.iter().rev().take(CURRENT_SAMPLES), 2);
+        usual.as_secs_f64() / current.as_secs_f64()
     }
 
-    /// Whether the machine is so slow that another one should decide.
+    /// Returns whether the machine is so slow that an entry on another one should own the fleet.
     pub fn is_slow(&self) -> bool {
         self.relative_speed() < SLOW_BELOW
     }
 }
 
-/// The measurement that one part in `part` of some lies below.
-fn ranked<'a>(measured: impl Iterator<Item = &'a Duration>, part: usize) -> Duration {
-    let mut sorted: Vec<Duration> = measured.copied().collect();
+/// Returns the measurement below which the `divisor`-th part of the samples lies.
+fn quantile<'a>(samples: impl Iterator<Item = &'a Duration>, divisor: usize) -> Duration {
+    let mut sorted: Vec<Duration> = samples.copied().collect();
     sorted.sort_unstable();
-    sorted[sorted.len() / part]
+    sorted[sorted.len() / divisor]
 }
--- a/crates/jackdawpier_entry/src/watched_stream.rs
+++ b/crates/jackdawpier_entry/src/watched_stream.rs
@@ -13,7 +13,7 @@
 use nix::poll::{PollFd, PollFlags, PollTimeout, poll};
 use tokio::net::TcpStream;
 
-use crate::connections::{Close, Connection};
+use crate::connections::{CloseMode, Connection};
 
 /// Whether something can be read or accepted at once, even if the runtime hasn't been notified yet.
 pub(crate) fn is_readable(socket: &impl AsFd) -> bool {
@@ -38,7 +38,7 @@
 
     /// Returns the result of a write, or aborts the connection if the peer takes too long to read.
     fn check_write(&self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        if written.is_pending() && self.connection.wait_for_peer() {
+        if written.is_pending() && self.connection.on_write_pending() {
             self.connection.close();
             return Poll::Ready(Err(io::ErrorKind::TimedOut.into()));
         }
@@ -55,20 +55,20 @@
         buffer: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         if let Poll::Ready(read) = self.stream().poll_read(context, buffer) {
-            self.connection.received();
+            self.connection.on_bytes_received();
             return Poll::Ready(read);
         }
-        if !self.connection.wait_for_bytes() {
+        if !self.connection.on_read_pending() {
             return Poll::Pending;
         }
         if is_readable(self.stream.inner()) {
             // The runtime will be notified and wake this task.
-            self.connection.go_on();
+            self.connection.cancel_close();
             return Poll::Pending;
         }
         Poll::Ready(match self.connection.close() {
-            Close::InOrder => Ok(()),
-            Close::BreakOff => Err(io::ErrorKind::TimedOut.into()),
+            CloseMode::Graceful => Ok(()),
+            CloseMode::Abort => Err(io::ErrorKind::TimedOut.into()),
         })
     }
 }
@@ -99,7 +99,7 @@
     /// Called when everything has been written.
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         ready!(self.stream().poll_flush(context))?;
-        self.connection.flushed();
+        self.connection.on_flushed();
         Poll::Ready(Ok(()))
     }
 
