--- a/crates/jackdawpier_entry/src/callers.rs
+++ b/crates/jackdawpier_entry/src/callers.rs
@@ -402,7 +402,8 @@
         }
     }
 
-    /// Handles the cancellation of a job without a submission: if it has ended, there is nothing left to cancel.
+    /// Handles the cancellation of a job without a submission: if it has ended, there is nothing left
+    /// to cancel.
     async fn cancel_ended(
         &self,
         id: &JobId,
--- a/crates/jackdawpier_entry/src/configuration.rs
+++ b/crates/jackdawpier_entry/src/configuration.rs
@@ -18,8 +18,8 @@
 /// How long a watch waits for a change, which has to be in force within two seconds. Reading the whole
 /// configuration twice a second instead would need 18 kB/s of each entry's link with 30 routes.
 const WATCH_TIMEOUT: Duration = Duration::from_millis(1000);
-/// The same if keys are required: the proofs for them also bring changes that the watch misses, and show whether
-/// the store answers.
+/// The same if keys are required: the proofs for them also bring changes that the watch misses, and
+/// show whether the store answers.
 const WATCH_TIMEOUT_WITH_PROOFS: Duration = Duration::from_millis(5000);
 /// Interval of checks whether the configuration has changed, independent of the watch.
 const CHECK_INTERVAL: Duration = Duration::from_secs(10);
@@ -53,7 +53,8 @@
 }
 
 impl ActiveConfiguration {
-    /// Creates an empty configuration whose keys may be accepted for `valid_for` after a proof; none for no limit.
+    /// Creates an empty configuration whose keys may be accepted for `valid_for` after a proof; none
+    /// for no limit.
     pub fn new(valid_for: Option<Duration>) -> Self {
         let active = Self::default();
         active.state.borrow_mut().proof.valid_for = valid_for;
@@ -183,8 +184,9 @@
     }
 }
 
-/// Follows the configuration until it is cancelled. The whole configuration is read only if nothing smaller shows
-/// whether it has changed: it may be large, and hundreds of instances read it over one link of the store.
+/// Follows the configuration until it is cancelled. The whole configuration is read only if nothing
+/// smaller shows whether it has changed: it may be large, and hundreds of instances read it over one
+/// link of the store.
 pub async fn follow<P: Platform>(platform: P, active: ActiveConfiguration, events: Events) {
     active.set_progress(platform.response_progress());
     let mut was_current = false;
--- a/crates/jackdawpier_entry/src/connections.rs
+++ b/crates/jackdawpier_entry/src/connections.rs
@@ -1,4 +1,5 @@
-//! The open connections of a port: tracks which are idle, closes overdue ones, and evicts idle ones at the limit.
+//! The open connections of a port: tracks which are idle, closes overdue ones, and evicts idle ones at
+//! the limit.
 //!
 //! Design: `docs/design/callers-port.md`.
 
--- a/crates/jackdawpier_entry/src/job_query.rs
+++ b/crates/jackdawpier_entry/src/job_query.rs
@@ -58,8 +58,8 @@
         self.last_error = Some(error);
     }
 
-    /// Records the latency, and logs the query if it was slow or failed. `proof_age` is the age of the proof with
-    /// which the key was verified.
+    /// Records the latency, and logs the query if it was slow or failed. `proof_age` is the age of the
+    /// proof with which the key was verified.
     pub(crate) fn log_answer(
         &self,
         events: &Events,
--- a/crates/jackdawpier_entry/src/metrics.rs
+++ b/crates/jackdawpier_entry/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Counters and latency histograms, served as text at the address in the settings.
 //!
-//! Each event is counted by its kind and outcome, also if its log line is suppressed, so the counts are complete
-//! while the volume of the log is bounded.
+//! Each event is counted by its kind and outcome, also if its log line is suppressed, so the counts are
+//! complete while the volume of the log is bounded.
 
 use std::{
     cell::RefCell,
--- a/crates/jackdawpier_entry/src/settings.rs
+++ b/crates/jackdawpier_entry/src/settings.rs
@@ -27,7 +27,7 @@
     pub maintenance_duration: Duration,
     /// Factor by which a task takes longer away from its data.
     pub remote_factor: f64,
-    /// Minimum time before another entry may order a machine that one entry has ordered.
+    /// Minimum time between machine orders of two different owners.
     pub order_lease: Duration,
     /// Minimum time to live of the leases that the store grants.
     pub min_lease_ttl: Duration,
--- a/crates/jackdawpier_entry/src/speed.rs
+++ b/crates/jackdawpier_entry/src/speed.rs
@@ -8,15 +8,17 @@
 
 use crate::clock;
 
-/// Number of latest measurements whose median is the current duration, so that a few interrupted ones don't count.
+/// Number of latest measurements whose median is the current duration, so that a few interrupted ones
+/// don't count.
 const CURRENT_SAMPLES: usize = 9;
 /// Number of measurements whose lower quartile is the usual duration. With 20 measurements a second, a slow
 /// machine's speed counts as usual after nine seconds; by then another entry owns the fleet.
 const WINDOW_SAMPLES: usize = 240;
 /// Rounds of the computation, about 12 us: much longer than the clock's resolution and shorter than a decision.
 const ROUNDS: u64 = 5_000;
-/// A machine at less than this share of its usual speed is slow. Changes of frequency and other load on the same
-/// core can reduce the speed to a third for a quarter of a second, which is also the cost of a change of owners.
+/// A machine at less than this share of its usual speed is slow. Changes of frequency and other load on
+/// the same core can reduce the speed to a third for a quarter of a second, which is also the cost of a
+/// change of owners.
 const SLOW_BELOW: f64 = 0.25;
 
 /// Measures how long the computation takes now.
--- a/crates/jackdawpier_entry/tests/acceptance.rs
+++ b/crates/jackdawpier_entry/tests/acceptance.rs
@@ -1,4 +1,4 @@
-//! A job is accepted once the store holds it, refused only if it never will, and unknown else.
+//! A job is accepted if the store holds it, refused only if it never will, and otherwise unknown.
 
 mod support;
 
@@ -12,10 +12,10 @@
 };
 use support::{Fake, WriteFault, run, start_intake, submission};
 
-async fn submit(fake: &Fake, patience_ms: u64) -> Acceptance {
+async fn submit(fake: &Fake, timeout_ms: u64) -> Acceptance {
     let intake = Intake::default();
     let writing = tokio::task::spawn_local(write_jobs(fake.clone(), intake.clone()));
-    let deadline = clock::now() + Duration::from_millis(patience_ms);
+    let deadline = clock::now() + Duration::from_millis(timeout_ms);
     let acceptance = intake.submit("job".into(), &submission(), deadline).await;
     writing.abort();
     acceptance
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn plain_acceptance() {
+fn stored_job() {
     run(async {
         let fake = Fake::default();
         assert_eq!(submit(&fake, 1000).await, Acceptance::Accepted);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn second_submission() {
+fn repeated_submission() {
     run(async {
         let fake = Fake::default();
         assert_eq!(submit(&fake, 1000).await, Acceptance::Accepted);
@@ -64,10 +64,10 @@
     });
 }
 
-/// A write without an answer may be carried out after the next one was turned away: nothing may be
-/// said that this makes false.
+/// A write without an answer may be applied after the next one was refused, so its job must not be
+/// reported as refused.
 #[test]
-fn late_write() {
+fn delayed_write() {
     run(async {
         let fake = Fake::default();
         fake.fail_next_writes(&[
@@ -98,25 +98,25 @@
             })
             .collect();
         for job in jobs {
-            assert_eq!(job.await.expect("it doesn't panic"), Acceptance::Accepted);
+            assert_eq!(job.await.expect("the task doesn't panic"), Acceptance::Accepted);
         }
         assert!(fake.commits() <= 8, "{} writes for 60 jobs", fake.commits());
     });
 }
 
-/// A caller isn't held until its own time is over where the store gives no answers.
+/// Without answers from the store a caller is answered before its own deadline.
 #[test]
-fn silent_store() {
+fn unresponsive_store() {
     run(async {
         let fake = Fake::default();
         fake.fail_next_writes(&[WriteFault::Lost; 200]);
         assert_eq!(submit(&fake, 60_000).await, Acceptance::Unknown);
-        assert!(fake.commits() < 50, "{} tries", fake.commits());
+        assert!(fake.commits() < 50, "{} attempts", fake.commits());
     });
 }
 
-/// Jobs that queue up behind writes to a store that hangs are refused soon, since they surely aren't
-/// stored; those that a write has carried stay unknown.
+/// Jobs that wait behind writes to a hanging store are refused soon, since they can't be stored; the outcome
+/// of jobs that were part of a write stays unknown.
 #[test]
 fn hanging_store() {
     run(async {
@@ -140,15 +140,15 @@
         let late_took = clock::since(asked_at);
         let mut refused = 0;
         for job in jobs {
-            let (end, at) = job.await.expect("it doesn't panic");
-            assert_ne!(end, Acceptance::Accepted);
-            refused += usize::from(end == Acceptance::Refused);
-            let held = at.saturating_sub(began_at);
-            assert!(held < Duration::from_secs(2), "held for {held:?}");
+            let (outcome, at) = job.await.expect("the task doesn't panic");
+            assert_ne!(outcome, Acceptance::Accepted);
+            refused += usize::from(outcome == Acceptance::Refused);
+            let waited = at.saturating_sub(began_at);
+            assert!(waited < Duration::from_secs(2), "answered after {waited:?}");
         }
-        assert_eq!(refused, 80, "only what a write has carried stays unknown");
+        assert_eq!(refused, 80, "the outcome is unknown only for jobs that were part of a write");
         assert_eq!(late, Acceptance::Refused);
-        assert!(late_took < Duration::from_millis(100), "held for {late_took:?}");
+        assert!(late_took < Duration::from_millis(100), "answered after {late_took:?}");
         assert!(
             (0..120)
                 .all(|number| fake.value(&keys::submission(&format!("job-{number}"))).is_none())
@@ -156,7 +156,7 @@
     });
 }
 
-/// A store that turns slow, but answers, takes in all that comes.
+/// A store that becomes slow, but answers, accepts all jobs.
 #[test]
 fn slow_store() {
     run(async {
@@ -175,12 +175,12 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         for job in jobs {
-            assert_eq!(job.await.expect("it doesn't panic"), Acceptance::Accepted);
+            assert_eq!(job.await.expect("the task doesn't panic"), Acceptance::Accepted);
         }
     });
 }
 
-/// After a write without an answer jobs aren't taken in until the store is seen to answer.
+/// After an unanswered write no jobs are accepted until the store answers.
 #[test]
 fn unanswered_write() {
     run(async {
@@ -199,15 +199,16 @@
     });
 }
 
-/// A caller whose time was over before a healthy store's answer made the entry refuse others, as if the store were silent.
+/// A caller whose deadline passed before the answer of a healthy store made the entry refuse other jobs, as if
+/// the store were unresponsive.
 #[test]
-fn impatient_caller() {
+fn short_deadline() {
     run(async {
         let fake = Fake::default();
         fake.set_delay(Duration::from_millis(10));
         let intake = start_intake(&fake);
         let deadline = clock::now() + Duration::from_millis(5);
         assert_eq!(intake.submit("job".into(), &submission(), deadline).await, Acceptance::Unknown);
-        assert!(intake.unanswered_since().is_none(), "the store is taken to be silent");
+        assert!(intake.unanswered_since().is_none(), "the store is considered unresponsive");
     });
 }
--- a/crates/jackdawpier_entry/tests/client_accounts.rs
+++ b/crates/jackdawpier_entry/tests/client_accounts.rs
@@ -1,4 +1,4 @@
-//! What callers get by their keys, over the port that they use.
+//! Access to jobs by the keys of callers, over the callers' port.
 
 mod support;
 
@@ -12,12 +12,12 @@
 };
 
 const DOCUMENT: &[u8] = b"1 baker-key:bakery shop-key:shop";
-const HOLDS_FOR: Duration = Duration::from_millis(1500);
+const VALID_FOR: Duration = Duration::from_millis(1500);
 
 async fn start() -> Entry {
     let fake = Fake::default();
     fake.put(CONFIGURATION, DOCUMENT);
-    Entry::start(&fake, Some(HOLDS_FOR)).await
+    Entry::start(&fake, Some(VALID_FOR)).await
 }
 
 #[test]
@@ -27,13 +27,13 @@
         assert_eq!(entry.status("POST", "/a/job", Some("shop-key")).await, 200);
         assert_eq!(entry.status("GET", "/a/job", Some("shop-key")).await, 200);
         assert_eq!(entry.status("GET", "/a/", Some("shop-key")).await, 200);
-        // A repeat is the same job.
+        // A repeated submission is the same job.
         assert_eq!(entry.status("POST", "/a/job", Some("shop-key")).await, 200);
         assert_eq!(entry.status("DELETE", "/a/job", Some("shop-key")).await, 200);
     });
 }
 
-/// Nothing is done for a caller without a key that stands, and it is told so without its key.
+/// A request without a valid key has no effect, and the answer doesn't contain the key.
 #[test]
 fn unknown_keys() {
     run(async {
@@ -50,7 +50,7 @@
     });
 }
 
-/// A job is shown to its own account only, and its id isn't another account's to use.
+/// Only a job's own account can query, submit or cancel it by its id.
 #[test]
 fn foreign_jobs() {
     run(async {
@@ -65,49 +65,50 @@
     });
 }
 
-/// The store turns the entry away and a key is taken away meanwhile: the entry refuses both keys at once
-/// when the promise is due, with when to come back, and knows which one stands as soon as it is served.
+/// A key is revoked while the store is unavailable: after the validity of the last proof the entry refuses all
+/// keys with a `Retry-After`, and rejects only the revoked one as soon as the store answers.
 #[test]
-fn taken_key() {
+fn revoked_key() {
     run(async {
         let entry = start().await;
         entry.fake.set_down(true);
         entry.fake.put(CONFIGURATION, b"2 baker-key:bakery");
-        tokio::time::sleep(HOLDS_FOR).await;
+        tokio::time::sleep(VALID_FOR).await;
         for key in ["baker-key", "shop-key"] {
             let answer = entry.request("POST", "/a/job", Some(key)).await;
             assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
             assert!(answer.to_ascii_lowercase().contains("retry-after"), "{answer}");
         }
         entry.fake.set_down(false);
-        assert_eq!(entry.status("POST", "/a/taken", Some("shop-key")).await, 401);
-        assert_eq!(entry.status("POST", "/a/standing", Some("baker-key")).await, 200);
-        assert_eq!(entry.fake.value(&keys::submission("taken")), None);
+        assert_eq!(entry.status("POST", "/a/revoked", Some("shop-key")).await, 401);
+        assert_eq!(entry.status("POST", "/a/valid", Some("baker-key")).await, 200);
+        assert_eq!(entry.fake.value(&keys::submission("revoked")), None);
     });
 }
 
-/// A body takes longer to arrive than a proof holds, and the store is gone meanwhile: a proof from after the
-/// request's arrival was there and too old, so the entry looked at it again and again and did nothing else.
+/// The body takes longer to arrive than a proof is valid, and the store is unavailable meanwhile: the
+/// proof from after the request's arrival had expired, so the entry checked it again in a busy loop.
 #[test]
 fn slow_body() {
     run(async {
         let entry = start().await;
-        let mut stream = TcpStream::connect(entry.address).await.expect("it is served");
+        let mut stream =
+            TcpStream::connect(entry.address).await.expect("the port accepts connections");
         let head = "POST /a/job HTTP/1.1\r\nhost: host\r\nx-key: shop-key\r\nconnection: close\r\ncontent-length: 2\r\n\r\n{";
-        stream.write_all(head.as_bytes()).await.expect("it is open");
-        // The next proof is asked for after the request has come.
+        stream.write_all(head.as_bytes()).await.expect("the connection is open");
+        // The next proof is requested after the head of the request has arrived.
         tokio::time::sleep(Duration::from_millis(1400)).await;
         entry.fake.set_down(true);
-        tokio::time::sleep(HOLDS_FOR).await;
-        stream.write_all(b"}").await.expect("it is open");
+        tokio::time::sleep(VALID_FOR).await;
+        stream.write_all(b"}").await.expect("the connection is open");
         let mut answer = String::new();
         let reading = stream.read_to_string(&mut answer);
-        let answered = tokio::time::timeout(Duration::from_secs(2), reading).await;
-        assert!(answered.is_ok() && answer.starts_with("HTTP/1.1 503"), "{answer}");
+        let result = tokio::time::timeout(Duration::from_secs(2), reading).await;
+        assert!(result.is_ok() && answer.starts_with("HTTP/1.1 503"), "{answer}");
     });
 }
 
-/// A key that has just been added is known though the watch hasn't told of it.
+/// A key that was just added is accepted although the watch hasn't reported it.
 #[test]
 fn added_key() {
     run(async {
@@ -118,14 +119,14 @@
     });
 }
 
-/// The operators' document is written again as it was: the entry took that for a change that it couldn't take
-/// over, never proved a key again and refused all callers with keys.
+/// The same configuration document is written again: the entry treated that as a change that it couldn't adopt,
+/// got no proof from then on and refused all callers with keys.
 #[test]
-fn same_document_again() {
+fn rewritten_document() {
     run(async {
         let entry = start().await;
         entry.fake.put(CONFIGURATION, DOCUMENT);
-        tokio::time::sleep(HOLDS_FOR).await;
+        tokio::time::sleep(VALID_FOR).await;
         assert_eq!(entry.status("POST", "/a/job", Some("shop-key")).await, 200);
         assert_eq!(entry.status("GET", "/a/job", Some("shop-key")).await, 200);
     });
--- a/crates/jackdawpier_entry/tests/configuration.rs
+++ b/crates/jackdawpier_entry/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration in force only rises, and routes go by their longest prefix.
+//! The version in force never decreases, and the route with the longest prefix is chosen.
 
 mod support;
 
@@ -6,7 +6,7 @@
 use support::configuration;
 
 #[test]
-fn rising_versions() {
+fn increasing_versions() {
     let active = ActiveConfiguration::default();
     assert!(active.adopt_if_newer(configuration(3), 10));
     assert!(!active.adopt_if_newer(configuration(2), 11));
--- a/crates/jackdawpier_entry/tests/followed_configuration.rs
+++ b/crates/jackdawpier_entry/tests/configuration_changes.rs
@@ -1,4 +1,4 @@
-//! How an entry keeps up with the configuration.
+//! An entry follows changes of the configuration.
 
 mod support;
 
@@ -13,7 +13,7 @@
 
 const KEY: &str = "configuration";
 
-/// An entry that has the first version in force.
+/// Starts an entry and waits until the first version is in force.
 async fn start(fake: &Fake) -> ActiveConfiguration {
     fake.put(KEY, b"1");
     let active = ActiveConfiguration::default();
@@ -26,14 +26,14 @@
     active.get().map(|current| current.version)
 }
 
-/// A change is in force at once, and the whole is seldom read, large as it may be.
+/// A change is in force immediately, and the whole configuration, which may be large, is rarely read.
 #[test]
 fn watched_change() {
     run(async {
         let fake = Fake::default();
         let active = start(&fake).await;
         tokio::time::sleep(Duration::from_secs(3)).await;
-        assert!(fake.reads() <= 1, "{} readings in three seconds", fake.reads());
+        assert!(fake.reads() <= 1, "{} reads in three seconds", fake.reads());
         assert!(active.is_current(clock::now()));
         fake.put(KEY, b"2");
         tokio::time::sleep(Duration::from_millis(200)).await;
@@ -41,9 +41,9 @@
     });
 }
 
-/// An entry whose store is gone isn't in touch, and is again soon after it is back.
+/// The configuration isn't current while the store is unavailable, and is current soon after its return.
 #[test]
-fn store_away() {
+fn store_unavailable() {
     run(async {
         let fake = Fake::default();
         let active = start(&fake).await;
@@ -58,7 +58,7 @@
     });
 }
 
-/// Watches that are cut as soon as they wait don't make a process ask without a pause.
+/// Watches that end immediately aren't repeated without a delay.
 #[test]
 fn cut_watch() {
     run(async {
@@ -68,7 +68,7 @@
         tokio::time::sleep(Duration::from_secs(2)).await;
         let before = fake.watches();
         tokio::time::sleep(Duration::from_secs(1)).await;
-        assert!(fake.watches() - before <= 5, "{} in a second", fake.watches() - before);
+        assert!(fake.watches() - before <= 5, "{} watches in a second", fake.watches() - before);
         assert!(active.is_current(clock::now()));
     });
 }
--- a/crates/jackdawpier_entry/tests/connections.rs
+++ b/crates/jackdawpier_entry/tests/connections.rs
@@ -1,5 +1,5 @@
-//! Connections at the limits of a port: a request that has arrived is answered, and idle connections keep
-//! nobody out.
+//! Connections at the limits of a port: a request that has arrived is answered, and idle connections
+//! don't block new ones.
 
 #[path = "support/port.rs"]
 mod port;
@@ -19,7 +19,7 @@
     connections::{ConnectionCounts, ConnectionLimits},
 };
 use port::{
-    LARGE_ANSWER_BYTES, LARGE_REQUEST, REQUEST, SLOW_REQUEST, ask, read, send_unseen,
+    LARGE_ANSWER_BYTES, LARGE_REQUEST, REQUEST, SLOW_REQUEST, ask, read, send_without_yield,
     serve_changing_port, serve_port, wide_limits,
 };
 use support::{run, wait_until};
@@ -29,12 +29,12 @@
     answer.starts_with("http/1.1 200")
 }
 
-/// Whether a connection has ended without an answer, in order or not.
+/// Returns whether a connection was closed without an answer, gracefully or not.
 fn is_closed(end: &str) -> bool {
     end.is_empty() || end == "ConnectionReset"
 }
 
-/// Blocks the thread of the port nearly all the time, as a busy entry does.
+/// Blocks the thread of the port most of the time, like a busy entry.
 async fn block_thread() {
     loop {
         thread::sleep(Duration::from_millis(15));
@@ -42,13 +42,13 @@
     }
 }
 
-/// Asks twice over a link that delays answers, the second time at the end of the time for which a connection
-/// may be idle, as this caller sees it. `None` if its thread overslept.
+/// Sends two requests over a link that delays answers, the second one at the end of the idle timeout as seen by
+/// this caller. Returns whether it is answered, or `None` if the thread slept too long.
 fn ask_at_limit(mut stream: BlockingStream, limit: Duration) -> Option<bool> {
     const LINK_DELAY: Duration = Duration::from_millis(200);
     const SLACK: Duration = Duration::from_millis(100);
     let mut buffer = [0; 1024];
-    stream.write_all(REQUEST).expect("it is open");
+    stream.write_all(REQUEST).expect("the connection is open");
     thread::sleep(LINK_DELAY);
     assert!(stream.read(&mut buffer).expect("it is answered") > 0);
     let answered_at = Instant::now();
@@ -61,9 +61,9 @@
     Some(buffer[..count].starts_with(b"HTTP/1.1 200"))
 }
 
-/// A request sent at the end of the idle time crossed the close of its connection: its caller got a reset.
+/// A request sent at the end of the idle timeout crossed the close of its connection: its caller got a reset.
 #[test]
-fn idle_limit() {
+fn request_at_limit() {
     const CALLERS: usize = 32;
     let idle_timeout = Duration::from_millis(400);
     let idle_margin = Duration::from_secs(1);
@@ -73,14 +73,14 @@
         tokio::task::spawn_local(block_thread());
         let address = port.address;
         let caller = move || {
-            let stream = BlockingStream::connect(address).expect("the port is there");
+            let stream = BlockingStream::connect(address).expect("the port listens");
             ask_at_limit(stream, idle_timeout)
         };
         let mut ends = Vec::new();
         while ends.is_empty() {
             let callers = (0..CALLERS).map(|_| tokio::task::spawn_blocking(caller));
             for caller in callers.collect::<Vec<_>>() {
-                ends.extend(caller.await.expect("it ends"));
+                ends.extend(caller.await.expect("the task doesn't panic"));
             }
         }
         let answered = ends.iter().filter(|is_answered| **is_answered).count();
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn idle_end() {
+fn idle_timeout() {
     run(async {
         let limits = ConnectionLimits {
             idle_timeout: Duration::from_millis(100),
@@ -99,13 +99,13 @@
         let port = serve_port(limits);
         let mut idle = port.connect_and_ask().await;
         let since = Instant::now();
-        assert_eq!(read(&mut idle).await, "", "it is closed in order");
-        let lived = since.elapsed() + Duration::from_millis(50);
-        assert!(lived >= limits.idle_timeout + limits.idle_margin, "{lived:?}");
+        assert_eq!(read(&mut idle).await, "", "it is closed gracefully");
+        let idle_time = since.elapsed() + Duration::from_millis(50);
+        assert!(idle_time >= limits.idle_timeout + limits.idle_margin, "{idle_time:?}");
     });
 }
 
-/// The idle time of connections ended while their next requests lay unread in the kernel.
+/// The idle timeout of connections passed while their next requests were unread in the kernel.
 #[test]
 fn unread_request() {
     const CALLERS: usize = 32;
@@ -116,7 +116,7 @@
         for _ in 0..CALLERS {
             callers.push(port.connect_and_ask().await);
         }
-        // This timer and those of the port fire in the same turn, and this task runs first.
+        // This timer and those of the port expire in the same turn of the runtime, and this task runs first.
         let turn = tokio::time::sleep(Duration::from_millis(20));
         tokio::pin!(turn);
         tokio::select! {
@@ -126,7 +126,7 @@
         }
         thread::sleep(idle_timeout * 2);
         turn.await;
-        callers.iter().for_each(|caller| send_unseen(caller, REQUEST));
+        callers.iter().for_each(|caller| send_without_yield(caller, REQUEST));
         let mut answers = Vec::new();
         for mut caller in callers {
             answers.push(read(&mut caller).await);
@@ -136,25 +136,25 @@
     });
 }
 
-/// A head of which nothing more came held its connection for the idle time, and an idle connection ended
-/// with the time for a head.
+/// A connection with an incomplete head stayed open for the idle timeout, and an idle connection was
+/// closed after the header timeout.
 #[test]
-fn half_sent_head() {
+fn partial_head() {
     run(async {
         let header_timeout = Duration::from_millis(200);
         let port = serve_port(ConnectionLimits { header_timeout, ..wide_limits() });
         let mut idle = port.connect_and_ask().await;
         let mut unused = port.connect().await;
-        let mut half_sent = port.connect_and_ask().await;
-        send_unseen(&half_sent, b"GET / HT");
-        assert!(is_closed(&read(&mut half_sent).await));
+        let mut partial = port.connect_and_ask().await;
+        send_without_yield(&partial, b"GET / HT");
+        assert!(is_closed(&read(&mut partial).await));
         tokio::time::sleep(header_timeout).await;
         assert!(is_answered(&ask(&mut idle).await));
         assert!(is_answered(&ask(&mut unused).await));
     });
 }
 
-/// A head that comes a byte at a time doesn't last longer.
+/// A head that arrives byte by byte doesn't extend the header timeout.
 #[test]
 fn slow_head() {
     run(async {
@@ -166,9 +166,9 @@
             Ok(count) => count > 0,
             Err(error) => error.kind() == std::io::ErrorKind::WouldBlock,
         };
-        send_unseen(&slow, b"GET /");
+        send_without_yield(&slow, b"GET /");
         while is_open(&slow) {
-            assert!(since.elapsed() < header_timeout * 20, "the head may last for ever");
+            assert!(since.elapsed() < header_timeout * 20, "the header timeout doesn't apply");
             tokio::time::sleep(Duration::from_millis(20)).await;
             let _ = slow.try_write(b"x");
         }
@@ -176,7 +176,7 @@
     });
 }
 
-/// An idle time that the operators shorten counts for connections that are open.
+/// A shorter idle timeout in the configuration applies to open connections.
 #[test]
 fn changed_limits() {
     run(async {
@@ -188,51 +188,52 @@
         tokio::time::sleep(header_timeout * 2).await;
         assert!(is_answered(&ask(&mut idle).await));
         limits.set(ConnectionLimits { idle_timeout: header_timeout, ..limits.get() });
-        assert_eq!(read(&mut idle).await, "", "it is closed in order");
+        assert_eq!(read(&mut idle).await, "", "it is closed gracefully");
         let expected = ConnectionCounts { idle_closed: 1, ..ConnectionCounts::default() };
         assert!(wait_until(|| port.connections.counts() == expected).await);
     });
 }
 
-/// An answer that its caller doesn't take held the connection for ever.
+/// An answer that its caller didn't read kept the connection open without limit.
 #[test]
-fn untaken_answer() {
+fn unread_answer() {
     run(async {
         let idle_timeout = Duration::from_millis(300);
         let port = serve_port(ConnectionLimits { max_open: 1, idle_timeout, ..wide_limits() });
-        let untaken = port.connect_and_ask().await;
-        send_unseen(&untaken, LARGE_REQUEST);
+        let unread = port.connect_and_ask().await;
+        send_without_yield(&unread, LARGE_REQUEST);
         let since = Instant::now();
-        let mut newcomer = port.connect().await;
-        assert!(is_answered(&ask(&mut newcomer).await));
-        // It wasn't taken for an idle one.
+        let mut new_caller = port.connect().await;
+        assert!(is_answered(&ask(&mut new_caller).await));
+        // It wasn't treated as idle.
         assert!(since.elapsed() >= idle_timeout);
         let expected = ConnectionCounts { open: 1, aborted: 1, ..ConnectionCounts::default() };
         assert_eq!(port.connections.counts(), expected);
     });
 }
 
-/// A large answer is whole though it is taken slowly and others want room.
+/// A large answer that is read slowly is complete although a new connection waits.
 #[test]
-fn slowly_taken_answer() {
+fn slowly_read_answer() {
     run(async {
         let port = serve_port(ConnectionLimits { max_open: 1, ..wide_limits() });
         let mut slow = port.connect_and_ask().await;
-        send_unseen(&slow, LARGE_REQUEST);
-        let mut newcomer = port.connect().await;
-        send_unseen(&newcomer, REQUEST);
+        send_without_yield(&slow, LARGE_REQUEST);
+        let mut new_caller = port.connect().await;
+        send_without_yield(&new_caller, REQUEST);
         tokio::time::sleep(Duration::from_millis(300)).await;
-        let mut left = LARGE_ANSWER_BYTES;
-        while left > 0 {
-            let taken = slow.read(&mut vec![0; 1024 * 1024]).await.expect("it goes on");
-            assert!(taken > 0, "{left} bytes are missing");
-            left = left.saturating_sub(taken);
+        let mut missing = LARGE_ANSWER_BYTES;
+        while missing > 0 {
+            let count =
+                slow.read(&mut vec![0; 1024 * 1024]).await.expect("the connection stays open");
+            assert!(count > 0, "{missing} bytes are missing");
+            missing = missing.saturating_sub(count);
         }
-        assert!(is_answered(&read(&mut newcomer).await));
+        assert!(is_answered(&read(&mut new_caller).await));
     });
 }
 
-/// A caller's idle connections took all the room of a port: nobody else was answered until they ended.
+/// The idle connections of one caller reached the limit of the port, so that nobody else was answered.
 #[test]
 fn full_port() {
     run(async {
@@ -241,96 +242,96 @@
         for _ in 0..4 {
             idle.push(port.connect_and_ask().await);
         }
-        // The first one has been idle for a shorter time than the second.
+        // The first connection has now been idle for a shorter time than the second.
         assert!(is_answered(&ask(&mut idle[0]).await));
-        let mut newcomer = port.connect().await;
-        assert!(is_answered(&ask(&mut newcomer).await));
-        assert_eq!(read(&mut idle[1]).await, "", "it is closed in order");
-        for place in [0, 2, 3] {
-            assert!(is_answered(&ask(&mut idle[place]).await), "{place}");
+        let mut new_caller = port.connect().await;
+        assert!(is_answered(&ask(&mut new_caller).await));
+        assert_eq!(read(&mut idle[1]).await, "", "it is closed gracefully");
+        for index in [0, 2, 3] {
+            assert!(is_answered(&ask(&mut idle[index]).await), "{index}");
         }
     });
 }
 
-/// One newcomer after the other is let in, and a connection that hasn't been used yet counts as idle too.
+/// New connections are accepted one after the other, and a connection that was never used counts as idle.
 #[test]
-fn many_newcomers() {
+fn many_connections() {
     run(async {
         let port = serve_port(ConnectionLimits { max_open: 4, ..wide_limits() });
-        let mut held = Vec::new();
+        let mut connections = Vec::new();
         for number in 0..12 {
-            let mut newcomer = port.connect().await;
+            let mut new_caller = port.connect().await;
             if number % 2 == 0 {
-                assert!(is_answered(&ask(&mut newcomer).await), "{number}");
+                assert!(is_answered(&ask(&mut new_caller).await), "{number}");
             }
-            held.push(newcomer);
+            connections.push(new_caller);
         }
-        assert!(is_answered(&ask(&mut held[11]).await));
+        assert!(is_answered(&ask(&mut connections[11]).await));
     });
 }
 
-/// A connection with a request that the port hasn't seen yet isn't idle: another one makes room.
+/// A connection with a request that the port hasn't read yet isn't idle: another one is evicted.
 #[test]
-fn unseen_request() {
+fn pending_request() {
     run(async {
         let port = serve_port(ConnectionLimits { max_open: 2, ..wide_limits() });
         let mut oldest = port.connect_and_ask().await;
         let mut idle = port.connect_and_ask().await;
         tokio::time::sleep(Duration::from_millis(200)).await;
-        let newcomer = BlockingStream::connect(port.address).expect("the port is there");
-        newcomer.set_nonblocking(true).expect("it is a socket");
-        (&newcomer).write_all(REQUEST).expect("its buffer is empty");
-        send_unseen(&oldest, REQUEST);
-        let mut newcomer = TcpStream::from_std(newcomer).expect("it doesn't block");
-        assert!(is_answered(&read(&mut newcomer).await));
+        let new_caller = BlockingStream::connect(port.address).expect("the port listens");
+        new_caller.set_nonblocking(true).expect("it is a socket");
+        (&new_caller).write_all(REQUEST).expect("its buffer is empty");
+        send_without_yield(&oldest, REQUEST);
+        let mut new_caller = TcpStream::from_std(new_caller).expect("it doesn't block");
+        assert!(is_answered(&read(&mut new_caller).await));
         assert!(is_answered(&read(&mut oldest).await));
-        assert_eq!(read(&mut idle).await, "", "it is closed in order");
+        assert_eq!(read(&mut idle).await, "", "it is closed gracefully");
     });
 }
 
-/// A caller that has just been answered has a moment for its next request before it makes room.
+/// A connection on which a request was just answered isn't evicted before the caller can send its next request.
 #[test]
-fn fresh_connection() {
-    const MOMENT: Duration = Duration::from_millis(90);
+fn recently_used() {
+    const MAX_DELAY: Duration = Duration::from_millis(90);
     run(async {
         loop {
             let port = serve_port(ConnectionLimits { max_open: 1, ..wide_limits() });
             let mut fresh = port.connect_and_ask().await;
             let answered_at = Instant::now();
-            let mut newcomer = port.connect().await;
-            send_unseen(&newcomer, REQUEST);
+            let mut new_caller = port.connect().await;
+            send_without_yield(&new_caller, REQUEST);
             tokio::time::sleep(Duration::from_millis(20)).await;
             let sent = fresh.try_write(REQUEST);
-            if answered_at.elapsed() > MOMENT {
-                // This thread overslept, so it tells nothing.
+            if answered_at.elapsed() > MAX_DELAY {
+                // This thread slept too long for the check.
                 continue;
             }
             assert!(sent.is_ok() && is_answered(&read(&mut fresh).await));
-            assert!(is_answered(&read(&mut newcomer).await));
+            assert!(is_answered(&read(&mut new_caller).await));
             return;
         }
     });
 }
 
-/// A request that is being answered isn't cut off for a newcomer.
+/// A connection whose request is being answered isn't evicted.
 #[test]
 fn busy_connection() {
     run(async {
         let port = serve_port(ConnectionLimits { max_open: 1, ..wide_limits() });
         let mut busy = port.connect_and_ask().await;
-        send_unseen(&busy, SLOW_REQUEST);
+        send_without_yield(&busy, SLOW_REQUEST);
         while port.in_flight.count() == 0 {
             tokio::task::yield_now().await;
         }
-        let mut newcomer = port.connect().await;
-        let answers = tokio::join!(read(&mut busy), ask(&mut newcomer));
+        let mut new_caller = port.connect().await;
+        let answers = tokio::join!(read(&mut busy), ask(&mut new_caller));
         assert!(is_answered(&answers.0) && is_answered(&answers.1), "{answers:?}");
     });
 }
 
-/// A stopped process ended with a request unread on a connection that had been idle during the whole stop.
+/// A process that shut down exited with an unread request on a connection that was idle during the shutdown.
 #[test]
-fn end_of_process() {
+fn shutdown() {
     let (keep, callers) = std::sync::mpsc::channel();
     run(async move {
         let port = serve_port(wide_limits());
@@ -348,7 +349,7 @@
         let mut text = String::new();
         caller.read_to_string(&mut text).map(|_| text.to_ascii_lowercase())
     });
-    let mut next = || ends.next().expect("there are two").expect("it is closed in order");
+    let mut next = || ends.next().expect("there are two").expect("it is closed gracefully");
     let answer = next();
     assert!(is_answered(&answer) && answer.contains("connection: close"), "{answer}");
     assert_eq!(next(), "");
--- a/crates/jackdawpier_entry/tests/link.rs
+++ b/crates/jackdawpier_entry/tests/link.rs
@@ -1,4 +1,4 @@
-//! Times on a link.
+//! Transfer times on a link.
 
 use std::time::Duration;
 
@@ -10,8 +10,8 @@
     assert_eq!(link::transfer_time_of_values(100_000, 2.0, 0.5), Duration::from_millis(1200));
 }
 
-/// Settings without a usable figure lead to a long wait, not to one without end.
+/// A bandwidth of zero leads to a long but bounded time.
 #[test]
-fn no_link() {
+fn zero_bandwidth() {
     assert!(link::transfer_time_of_values(100_000, 0.0, 0.1) < Duration::from_secs(600));
 }
--- a/crates/jackdawpier_entry/tests/log_volume.rs
+++ b/crates/jackdawpier_entry/tests/log_volume.rs
@@ -1,5 +1,4 @@
-//! A burst of starts and ends leaves nothing out that ends somebody's work, and what it leaves out is
-//! counted within a second.
+//! In a burst only routine log lines are suppressed, and they are counted within a second.
 
 use std::time::Duration;
 
@@ -15,16 +14,16 @@
     let mut started = 0;
     for _ in 0..BURST {
         started += u64::from(volume.admit("task_started"));
-        assert!(volume.admit("task_stopped"), "it ends somebody's work");
+        assert!(volume.admit("task_stopped"), "a decision that ends a caller's work");
     }
     assert!(started < BURST);
     assert!(volume.admit("task_given_up") && volume.admit("job_over"));
-    let left_out = volume.begin_second(now + Duration::from_secs(1));
-    assert_eq!(left_out, [SuppressedLines { kind: "task_started", lines: BURST - started }]);
+    let suppressed = volume.begin_second(now + Duration::from_secs(1));
+    assert_eq!(suppressed, [SuppressedLines { kind: "task_started", lines: BURST - started }]);
     assert!(volume.admit("task_started"), "a new second");
 }
 
-/// Whatever the cause, nobody writes without a bound.
+/// Rare kinds are limited as well.
 #[test]
 fn bounded_volume() {
     let mut volume = LogVolume::default();
--- a/crates/jackdawpier_entry/tests/log_writer.rs
+++ b/crates/jackdawpier_entry/tests/log_writer.rs
@@ -1,16 +1,12 @@
-//! In a burst the log lost decisions: a group of lines was written at once, of which the collector kept
-//! the first 8,192 bytes. All 15 gaps of one day began there, in the middle of a line:
-//!
-//! ```text
-//! 21.1083 {"at_ms":1788601705083,"confirmed":true,"crashes":1,"entry":"edge-hal-noord{"at_ms":1788601705111, ...
-//! ```
+//! Lines are written atomically. In a burst many lines were written at once, and the log collector kept
+//! only the first 8,192 bytes of each write, so that lines were lost and the last one was truncated.
 
 use std::io::{self, Write};
 
 use jackdawpier_entry::log_writer::write_lines;
 
-/// What a pipe takes as a whole on every system that we run on.
-const WHOLE_BYTES: usize = 4096;
+/// Maximum size of an atomic write to a pipe on all supported systems.
+const ATOMIC_BYTES: usize = 4096;
 
 #[derive(Default)]
 struct Writes(Vec<Vec<u8>>);
@@ -32,7 +28,7 @@
     let mut writes = Writes::default();
     write_lines(lines.iter().cloned(), &mut writes).expect("it takes all");
     for write in &writes.0 {
-        assert!(write.len() <= WHOLE_BYTES, "{} bytes at once", write.len());
+        assert!(write.len() <= ATOMIC_BYTES, "{} bytes at once", write.len());
         assert_eq!(write.last(), Some(&b'\n'), "each write ends with a line");
     }
     let text = String::from_utf8(writes.0.concat()).expect("it is text");
@@ -40,7 +36,7 @@
 }
 
 #[test]
-fn longer_line() {
+fn oversized_line() {
     let lines = ["short".to_owned(), "x".repeat(10_000), "short".to_owned()];
     let mut writes = Writes::default();
     write_lines(lines.iter().cloned(), &mut writes).expect("it takes all");
--- a/crates/jackdawpier_entry/tests/metrics.rs
+++ b/crates/jackdawpier_entry/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Counts are whole though the log's volume is bounded.
+//! Metrics count all events, also those whose log lines are suppressed.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 #[test]
-fn every_event() {
+fn suppressed_lines_counted() {
     let events = Events::new("entry");
     for _ in 0..2000 {
         events.emit("task_started", json!({ "end": "Started" }));
--- a/crates/jackdawpier_entry/tests/queue_counts.rs
+++ b/crates/jackdawpier_entry/tests/queue_counts.rs
@@ -1,4 +1,4 @@
-//! How many jobs of a queue wait, where the owner's note is old.
+//! The number of pending jobs of a queue while the owner's count is outdated.
 
 mod support;
 
@@ -10,21 +10,21 @@
 
 const ENTRIES: usize = 40;
 const JOBS: u64 = 200;
-/// A note of an owner that has been gone for long.
-const OLD_NOTE: &[u8] = br#"{"at_ms":1000,"counts":{}}"#;
+/// The counts of an owner that stopped long ago.
+const OUTDATED_COUNTS: &[u8] = br#"{"at_ms":1000,"counts":{}}"#;
 
-/// Bytes of all that was handed in.
+/// Stores the jobs and outdated counts; returns the total size of the submissions.
 fn put_jobs(fake: &Fake) -> usize {
-    fake.put(keys::PENDING, OLD_NOTE);
+    fake.put(keys::PENDING, OUTDATED_COUNTS);
     (0..JOBS).for_each(|number| put_job(fake, &format!("job-{number:03}")));
     let first = fake.value(&keys::submission("job-000")).expect("it was just put");
     first.len() * JOBS as usize
 }
 
-/// Asks at each entry ten times a second; returns the counts that differ from `JOBS`.
-async fn ask_everywhere(fake: &Fake, time: Duration) -> Vec<Option<u64>> {
+/// Queries each entry ten times a second; returns the counts that differ from `JOBS`.
+async fn query_all_entries(fake: &Fake, time: Duration) -> Vec<Option<u64>> {
     let until = clock::now() + time;
-    let asking: Vec<_> = (0..ENTRIES)
+    let queries: Vec<_> = (0..ENTRIES)
         .map(|_| {
             let (fake, pending) = (fake.clone(), Rc::new(PendingCounter::default()));
             tokio::task::spawn_local(async move {
@@ -41,27 +41,27 @@
         })
         .collect();
     let mut wrong = Vec::new();
-    for one in asking {
-        wrong.extend(one.await.expect("it doesn't panic"));
+    for query in queries {
+        wrong.extend(query.await.expect("the task doesn't panic"));
     }
     wrong
 }
 
-/// Without an owner each entry read all jobs each second to count those that wait. That filled the store's
-/// link, so that questions for jobs and the next owner's renewals went without an answer.
+/// Without an owner each entry read all jobs every second to count the pending ones. That saturated the link of
+/// the store, so that queries for jobs and the lease renewals of the next owner got no answer.
 #[test]
-fn one_count() {
+fn shared_count() {
     run(async {
         let fake = Fake::default();
         let bytes = put_jobs(&fake);
-        let wrong = ask_everywhere(&fake, Duration::from_millis(2500)).await;
+        let wrong = query_all_entries(&fake, Duration::from_millis(2500)).await;
         assert_eq!(wrong, Vec::new());
         let times = fake.listed_bytes() / bytes;
         assert!(times <= 4, "all jobs were read {times} times in 2.5 s");
     });
 }
 
-/// What has come since the last count is added to it.
+/// Jobs that were submitted since the last count are added to it.
 #[test]
 fn new_jobs() {
     run(async {
@@ -73,25 +73,25 @@
         put_job(&fake, "new-2");
         put_job(&fake, "cancelled");
         fake.put(&keys::cancellation("cancelled"), b"{}");
-        // The first count is good enough for two seconds.
+        // The first count is used for two seconds.
         tokio::time::sleep(Duration::from_millis(2100)).await;
         assert_eq!(count(&fake).await, Some(JOBS + 2));
         assert!(fake.reads() - reads <= 4, "the records were read again");
     });
 }
 
-/// A caller that leaves takes the count along that all others wait for.
+/// When the caller that had started a count disconnected, the count for which all others waited was cancelled.
 #[test]
-fn caller_gone() {
+fn caller_disconnects() {
     run(async {
         let fake = Fake::default();
         put_jobs(&fake);
         fake.set_delay(Duration::from_millis(40));
         let pending = PendingCounter::default();
         let queue = QUEUE.into();
-        let asking = pending.count(&fake, &queue);
-        let left = tokio::time::timeout(Duration::from_millis(150), asking);
-        assert!(left.await.is_err());
+        let query = pending.count(&fake, &queue);
+        let disconnected = tokio::time::timeout(Duration::from_millis(150), query);
+        assert!(disconnected.await.is_err());
         tokio::time::sleep(Duration::from_millis(600)).await;
         let listed = fake.listed_bytes();
         assert_eq!(count(&fake).await, Some(JOBS));
@@ -99,22 +99,22 @@
     });
 }
 
-/// An entry that has set about counting is gone.
+/// An entry that has claimed the counting stops before it is finished.
 #[test]
-fn lost_claim() {
+fn abandoned_claim() {
     run(async {
         let fake = Fake::default();
         put_jobs(&fake);
         let claimed = json!({ "at_ms": 1000, "counts": {}, "claimed_ms": clock::wall_ms() });
         fake.put(keys::PENDING, claimed.to_string().as_bytes());
-        assert_eq!(count(&fake).await, None, "nobody knows it yet");
+        assert_eq!(count(&fake).await, None, "there is no count yet");
         tokio::time::sleep(Duration::from_millis(2500)).await;
         assert_eq!(count(&fake).await, Some(JOBS));
     });
 }
 
-/// Reading the jobs takes longer than a count may be old: each reader was overtaken by the next, and none ever
-/// told what it had found.
+/// Reading the jobs takes longer than the validity of a count: each reader was superseded by the next, and none
+/// ever published its result.
 #[test]
 fn slow_lists() {
     run(async {
@@ -131,8 +131,8 @@
     });
 }
 
-/// The store takes half a second an answer: two readings and a claim came before the first count, and nobody
-/// waits for so long.
+/// The store takes half a second per answer: the first count took two reads and a claim, which is longer than
+/// callers wait.
 #[test]
 fn slow_store() {
     run(async {
@@ -149,7 +149,7 @@
     });
 }
 
-/// The write of a claim is carried out and its answer lost: nobody counted until it had grown old.
+/// The write of a claim is applied but its answer lost: nobody counted until the claim had expired.
 #[test]
 fn unanswered_claim() {
     run(async {
@@ -160,7 +160,7 @@
     });
 }
 
-/// Asks at an entry that knows nothing.
+/// Queries an entry without any cached count.
 async fn count(fake: &Fake) -> Option<u64> {
     PendingCounter::default().count(fake, &QUEUE.into()).await.ok()
 }
--- a/crates/jackdawpier_entry/tests/late_questions.rs
+++ b/crates/jackdawpier_entry/tests/slow_queries.rs
@@ -1,4 +1,4 @@
-//! A question that is late or isn't answered can be followed from the job's id.
+//! Queries for jobs that are slow or fail are logged, so that they can be traced by the job's id.
 
 mod support;
 
@@ -12,21 +12,21 @@
     net::TcpStream,
 };
 
-const PATIENCE: Duration = Duration::from_secs(1);
+const TIMEOUT: Duration = Duration::from_secs(1);
 
-fn counted(entry: &Entry, outcome: u16) -> bool {
+fn is_counted(entry: &Entry, outcome: u16) -> bool {
     let line = format!("jackdawpier_events_total{{event=\"question\",outcome=\"{outcome}\"}} 1");
     entry.events.metrics().text().contains(&line)
 }
 
 #[test]
-fn silent_store() {
+fn unresponsive_store() {
     run(async {
         let entry = Entry::start(&Fake::default(), None).await;
         put_job(&entry.fake, "job");
         entry.fake.set_down(true);
         assert_eq!(entry.status("GET", "/a/job", None).await, 503);
-        assert!(counted(&entry, 503));
+        assert!(is_counted(&entry, 503));
     });
 }
 
@@ -36,16 +36,16 @@
         let entry = Entry::start(&Fake::default(), None).await;
         put_job(&entry.fake, "job");
         assert_eq!(entry.status("GET", "/a/job", None).await, 200);
-        assert!(!counted(&entry, 200), "it took milliseconds");
+        assert!(!is_counted(&entry, 200), "it took milliseconds");
         entry.fake.set_delay(Duration::from_millis(250));
         assert_eq!(entry.status("GET", "/a/job", None).await, 200);
-        assert!(counted(&entry, 200));
+        assert!(is_counted(&entry, 200));
     });
 }
 
-/// The line of a question whose key couldn't be checked was missing.
+/// The log line of a query whose key couldn't be verified was missing.
 #[test]
-fn unproved_key() {
+fn unverified_key() {
     run(async {
         let fake = Fake::default();
         fake.put(CONFIGURATION, b"1 shop-key:shop");
@@ -53,42 +53,45 @@
         fake.set_down(true);
         tokio::time::sleep(Duration::from_millis(400)).await;
         assert_eq!(entry.status("GET", "/a/job", Some("shop-key")).await, 503);
-        assert!(counted(&entry, 503));
+        assert!(is_counted(&entry, 503));
     });
 }
 
-/// A host that turns connections away, a silent one and a want of descriptors were all "can't be reached".
+/// A refused connection, an unresponsive host and a lack of file descriptors were all reported as
+/// "can't be reached".
 #[test]
-fn named_obstacle() {
+fn refused_connection() {
     run(async {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback has free ports");
-        let host: Arc<str> = listener.local_addr().expect("it is bound").to_string().into();
+        let host: Arc<str> =
+            listener.local_addr().expect("the listener is bound").to_string().into();
         drop(listener);
         let call = Call::new(Method::GET, "/");
-        let answer = HttpClient::default().call(&host, &call, PATIENCE).await;
+        let answer = HttpClient::default().call(&host, &call, TIMEOUT).await;
         assert_eq!(answer.err(), Some(NoAnswer::NotSent(SendFailure::Refused)));
     });
 }
 
-/// A caller that never sends the rest of a body held its connection, one of those that the port may have, and a
-/// planned stop, for ever.
+/// A caller that never sent the rest of a body kept its connection open and blocked a graceful shutdown without
+/// limit.
 #[test]
-fn half_sent_body() {
+fn partial_body() {
     run(async {
         let entry = Entry::start(&Fake::default(), None).await;
-        let mut stream = TcpStream::connect(entry.address).await.expect("it is served");
+        let mut stream =
+            TcpStream::connect(entry.address).await.expect("the port accepts connections");
         let head = "POST /a/job HTTP/1.1\r\nhost: host\r\nx-deadline-ms: 600\r\nconnection: close\r\ncontent-length: 2\r\n\r\n{";
-        stream.write_all(head.as_bytes()).await.expect("it is open");
+        stream.write_all(head.as_bytes()).await.expect("the connection is open");
         let mut answer = String::new();
-        let reading = tokio::time::timeout(PATIENCE, stream.read_to_string(&mut answer));
+        let reading = tokio::time::timeout(TIMEOUT, stream.read_to_string(&mut answer));
         assert!(reading.await.is_ok() && answer.starts_with("HTTP/1.1 408"), "{answer}");
     });
 }
 
-/// A job that waits has no record, and a refused reading of what was handed in began again at the record: no two
-/// readings in a row are served here, so no question was answered, however often it was repeated.
+/// A pending job has no record, and after a failed read of its submission the query began again with
+/// the record. With every second read failing, no query was ever answered.
 #[test]
-fn one_reading_in_two() {
+fn alternating_failures() {
     run(async {
         let entry = Entry::start(&Fake::default(), None).await;
         put_job(&entry.fake, "job");
--- a/crates/jackdawpier_entry/tests/speed.rs
+++ b/crates/jackdawpier_entry/tests/speed.rs
@@ -1,4 +1,4 @@
-//! An owner on a machine that turns slow.
+//! An owner on a machine that becomes slow.
 
 mod support;
 
@@ -8,13 +8,13 @@
 use support::{Fake, run, start_owner, start_owner_with_speed, wait_until};
 
 thread_local! {
-    /// What the computation takes on the machine that these tests slow down.
-    static TAKES: Cell<Duration> = const { Cell::new(Duration::from_micros(10)) };
+    /// Simulated duration of the computation.
+    static MEASURED: Cell<Duration> = const { Cell::new(Duration::from_micros(10)) };
 }
 
-fn changing_speed() -> MachineSpeed {
-    TAKES.set(Duration::from_micros(10));
-    MachineSpeed::new(|| TAKES.get())
+fn adjustable_speed() -> MachineSpeed {
+    MEASURED.set(Duration::from_micros(10));
+    MachineSpeed::new(|| MEASURED.get())
 }
 
 fn owner_name(fake: &Fake) -> String {
@@ -23,49 +23,49 @@
     value["entry"].as_str().unwrap_or_default().to_owned()
 }
 
-/// A few interrupted measurements say nothing; most of them do.
+/// A machine is slow if most of the current measurements are, not only a few interrupted ones.
 #[test]
 fn slow_machine() {
-    let speed = changing_speed();
-    TAKES.set(Duration::from_micros(60));
+    let speed = adjustable_speed();
+    MEASURED.set(Duration::from_micros(60));
     (0..4).for_each(|_| speed.sample());
     assert!(!speed.is_slow());
     speed.sample();
     assert!(speed.is_slow());
-    TAKES.set(Duration::from_micros(11));
+    MEASURED.set(Duration::from_micros(11));
     (0..5).for_each(|_| speed.sample());
     assert!(!speed.is_slow());
 }
 
-/// Everything waits behind the decisions of an owner whose machine runs at a sixth of its speed, though it
-/// renews its lease in time: another entry gets the fleet within the next look.
+/// An owner whose machine ran at a sixth of its speed kept the fleet, since it renewed its lease in time, and
+/// delayed all decisions. Another entry has to take over within the next check.
 #[test]
 fn slow_owner() {
     run(async {
         let fake = Fake::default();
-        let (_first, _owning) = start_owner_with_speed(&fake, "slow", changing_speed());
+        let (_first, _owning) = start_owner_with_speed(&fake, "slow", adjustable_speed());
         assert!(wait_until(|| owner_name(&fake) == "slow").await);
         let (_second, _waiting) = start_owner(&fake, "other");
         tokio::time::sleep(Duration::from_millis(700)).await;
         assert_eq!(owner_name(&fake), "slow");
-        TAKES.set(Duration::from_micros(60));
+        MEASURED.set(Duration::from_micros(60));
         tokio::time::sleep(Duration::from_millis(1200)).await;
         assert_eq!(owner_name(&fake), "other");
         tokio::time::sleep(Duration::from_secs(2)).await;
-        assert_eq!(owner_name(&fake), "other", "the slow one doesn't take it back");
+        assert_eq!(owner_name(&fake), "other", "the slow entry doesn't become owner again");
     });
 }
 
-/// Where all machines are slow each keeps what it holds, so that there is an owner.
+/// If all machines are slow the owner stays, so that there is one.
 #[test]
 fn all_slow() {
     run(async {
         let fake = Fake::default();
-        let (_first, _owning) = start_owner_with_speed(&fake, "a", changing_speed());
+        let (_first, _owning) = start_owner_with_speed(&fake, "a", adjustable_speed());
         let (_second, _waiting) =
-            start_owner_with_speed(&fake, "b", MachineSpeed::new(|| TAKES.get()));
+            start_owner_with_speed(&fake, "b", MachineSpeed::new(|| MEASURED.get()));
         assert!(wait_until(|| !owner_name(&fake).is_empty()).await);
-        TAKES.set(Duration::from_micros(60));
+        MEASURED.set(Duration::from_micros(60));
         tokio::time::sleep(Duration::from_secs(5)).await;
         let term = fake.revision(keys::OWNER);
         assert!(term.is_some());
--- a/crates/jackdawpier_entry/tests/support/port.rs
+++ b/crates/jackdawpier_entry/tests/support/port.rs
@@ -1,4 +1,4 @@
-//! A port with callers on it.
+//! Test support: a port and its callers.
 
 #![allow(dead_code, unreachable_pub, reason = "each test file uses a part of it")]
 
@@ -23,15 +23,15 @@
 
 pub const REQUEST: &[u8] = b"GET / HTTP/1.1\r\nhost: x\r\n\r\n";
 pub const SLOW_REQUEST: &[u8] = b"GET /slow HTTP/1.1\r\nhost: x\r\n\r\n";
-/// Time that the answer to a slow request takes.
-pub const SLOW_ANSWER: Duration = Duration::from_millis(400);
+/// How long the answer to a slow request takes.
+pub const SLOW_ANSWER_DELAY: Duration = Duration::from_millis(400);
 pub const LARGE_REQUEST: &[u8] = b"GET /large HTTP/1.1\r\nhost: x\r\n\r\n";
 /// More than the buffers of both sockets hold.
 pub const LARGE_ANSWER_BYTES: usize = 32 * 1024 * 1024;
-/// A test that waits for this long hangs.
-const HANG_GUARD: Duration = Duration::from_secs(8);
+/// After this long a read fails, so that a test doesn't hang.
+const READ_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// Limits that no test reaches unless it narrows one.
+/// Limits that no test reaches unless it lowers one.
 pub fn wide_limits() -> ConnectionLimits {
     let long = Duration::from_secs(60);
     ConnectionLimits {
@@ -52,7 +52,7 @@
 async fn answer(request: Request<Incoming>) -> Reply {
     let body = match request.uri().path() {
         "/slow" => {
-            tokio::time::sleep(SLOW_ANSWER).await;
+            tokio::time::sleep(SLOW_ANSWER_DELAY).await;
             Bytes::from("yes")
         }
         "/large" => Bytes::from(vec![b'x'; LARGE_ANSWER_BYTES]),
@@ -69,7 +69,7 @@
 /// Serves a free port whose limits may change.
 pub fn serve_changing_port(limits: impl Fn() -> ConnectionLimits + 'static) -> Port {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has free ports");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     drop(listener);
     let (stop, stopping) = watch::channel(false);
     let (connections, in_flight) = (Connections::default(), InFlight::default());
@@ -86,7 +86,7 @@
 }
 
 impl Port {
-    /// Opens a connection, as soon as the port is there.
+    /// Opens a connection as soon as the port listens.
     pub async fn connect(&self) -> TcpStream {
         loop {
             match TcpStream::connect(self.address).await {
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Opens a connection and has one request answered on it.
+    /// Opens a connection and waits for the answer to one request.
     pub async fn connect_and_ask(&self) -> TcpStream {
         let mut stream = self.connect().await;
         assert!(ask(&mut stream).await.starts_with("http/1.1 200"));
@@ -104,11 +104,11 @@
     }
 }
 
-/// What comes next on a connection, in small letters: an answer, nothing (it was closed in order), or the
-/// error.
+/// Reads from a connection and returns the answer in lower case, an empty text if it was closed
+/// gracefully, or the kind of the error.
 pub async fn read(stream: &mut TcpStream) -> String {
     let mut buffer = [0; 1024];
-    let reading = tokio::time::timeout(HANG_GUARD, stream.read(&mut buffer));
+    let reading = tokio::time::timeout(READ_TIMEOUT, stream.read(&mut buffer));
     let read = reading.await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()));
     match read {
         Ok(count) => String::from_utf8_lossy(&buffer[..count]).to_ascii_lowercase(),
@@ -116,7 +116,7 @@
     }
 }
 
-/// Sends a request and returns what comes.
+/// Sends a request and returns the result of [`read`].
 pub async fn ask(stream: &mut TcpStream) -> String {
     match stream.write_all(REQUEST).await {
         Ok(()) => read(stream).await,
@@ -124,9 +124,8 @@
     }
 }
 
-/// Sends a request without letting anything else run on this thread, so that the server can't have seen it
-/// yet.
-pub fn send_unseen(stream: &TcpStream, request: &[u8]) {
-    let count = stream.try_write(request).expect("the buffer of the socket is empty");
+/// Sends a request without yielding to other tasks on this thread, so that the server can't have read it yet.
+pub fn send_without_yield(stream: &TcpStream, request: &[u8]) {
+    let count = stream.try_write(request).expect("the send buffer is empty");
     assert_eq!(count, request.len());
 }
