--- a/crates/jackdawpier_peer/src/lib.rs
+++ b/crates/jackdawpier_peer/src/lib.rs
@@ -23,9 +23,9 @@
 /// Largest message in bytes: an answer's body and its head.
 pub const MAX_MESSAGE_BYTES: usize = 16 << 20;
 /// Most bytes of an answer that are taken at once while it arrives.
-const PIECE_BYTES: usize = 64 * 1024;
+const READ_CHUNK_BYTES: usize = 64 * 1024;
 /// What is said of a peer that was given up.
-const NO_ANSWER: &str = "no answer in time";
+const ANSWER_TIMED_OUT: &str = "no answer in time";
 /// Time for a handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
 /// Silence after which a connection is taken for dead.
@@ -33,7 +33,7 @@
 /// Interval of keep-alive packets on a quiet connection.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(400);
 /// Streams that one peer may have open towards us.
-const MAX_STREAMS: u32 = 4096;
+const MAX_STREAMS_PER_PEER: u32 = 4096;
 
 /// Why a call gave no answer.
 #[derive(Debug, Display, Error, Clone, PartialEq, Eq)]
@@ -102,10 +102,10 @@
         transport
             .max_idle_timeout(Some(idle))
             .keep_alive_interval(Some(KEEP_ALIVE_INTERVAL))
-            .max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS))
+            .max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS_PER_PEER))
             .max_concurrent_uni_streams(VarInt::from_u32(0));
         let transport = Arc::new(transport);
-        let (server, client) = tls::configs(files, &transport)?;
+        let (server, client) = tls::build_configs(files, &transport)?;
         let mut endpoint = quinn::Endpoint::server(server, address)
             .map_err(|error| SetupError::Bind { address, detail: error.to_string() })?;
         endpoint.set_default_client_config(client);
@@ -135,13 +135,13 @@
         &self,
         address: SocketAddr,
         request: &Q,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<A, PeerError> {
         let exchange = |send, receive, message| async move {
             let answer = exchange(send, receive, message);
-            tokio::time::timeout(limit, answer).await.map_err(|_| NO_ANSWER.to_owned())?
+            tokio::time::timeout(timeout, answer).await.map_err(|_| ANSWER_TIMED_OUT.to_owned())?
         };
-        self.call_by(address, request, exchange).await
+        self.call_with(address, request, exchange).await
     }
 
     /// Calls a peer and reads its answer for as long as it arrives: how long it is, the peer's
@@ -150,13 +150,13 @@
         &self,
         address: SocketAddr,
         request: &Q,
-        silence: Duration,
+        idle_timeout: Duration,
     ) -> Result<A, PeerError> {
-        let exchange = |send, receive, message| fetch(send, receive, message, silence);
-        self.call_by(address, request, exchange).await
+        let exchange = |send, receive, message| fetch(send, receive, message, idle_timeout);
+        self.call_with(address, request, exchange).await
     }
 
-    async fn call_by<Q, A, F>(
+    async fn call_with<Q, A, F>(
         &self,
         address: SocketAddr,
         request: &Q,
@@ -174,7 +174,7 @@
         let (send, receive) = match opened {
             Ok(Ok(streams)) => streams,
             Ok(Err(error)) => {
-                self.forget(address, &connection);
+                self.remove_connection(address, &connection);
                 return Err(not_sent(error.to_string()));
             }
             Err(_) => return Err(not_sent("no stream is free".to_owned())),
@@ -184,7 +184,7 @@
                 .map_err(|error| PeerError::Lost { address, detail: error.to_string() }),
             Err(detail) => {
                 if connection.close_reason().is_some() {
-                    self.forget(address, &connection);
+                    self.remove_connection(address, &connection);
                 }
                 Err(PeerError::Lost { address, detail })
             }
@@ -209,12 +209,12 @@
         Ok(connection)
     }
 
-    fn forget(&self, address: SocketAddr, connection: &Connection) {
+    fn remove_connection(&self, address: SocketAddr, connection: &Connection) {
         let mut connections = self.lock();
-        let is_same = connections
+        let is_current = connections
             .get(&address)
             .is_some_and(|known| known.stable_id() == connection.stable_id());
-        if is_same {
+        if is_current {
             connections.remove(&address);
         }
     }
@@ -245,17 +245,19 @@
     mut send: SendStream,
     mut receive: RecvStream,
     message: Vec<u8>,
-    silence: Duration,
+    idle_timeout: Duration,
 ) -> Result<Vec<u8>, String> {
-    let sending = tokio::time::timeout(silence, send.write_all(&message));
-    sending.await.map_err(|_| NO_ANSWER)?.map_err(|error| error.to_string())?;
+    let sending = tokio::time::timeout(idle_timeout, send.write_all(&message));
+    sending.await.map_err(|_| ANSWER_TIMED_OUT)?.map_err(|error| error.to_string())?;
     send.finish().map_err(|error| error.to_string())?;
     let mut answer = Vec::new();
     loop {
-        let reading = tokio::time::timeout(silence, receive.read_chunk(PIECE_BYTES, true));
-        let piece = reading.await.map_err(|_| NO_ANSWER)?.map_err(|error| error.to_string())?;
-        let Some(piece) = piece else { return Ok(answer) };
-        answer.extend_from_slice(&piece.bytes);
+        let reading =
+            tokio::time::timeout(idle_timeout, receive.read_chunk(READ_CHUNK_BYTES, true));
+        let chunk =
+            reading.await.map_err(|_| ANSWER_TIMED_OUT)?.map_err(|error| error.to_string())?;
+        let Some(chunk) = chunk else { return Ok(answer) };
+        answer.extend_from_slice(&chunk.bytes);
         if answer.len() > MAX_MESSAGE_BYTES {
             return Err(format!("an answer of more than {MAX_MESSAGE_BYTES} bytes"));
         }
--- a/crates/jackdawpier_peer/src/tls.rs
+++ b/crates/jackdawpier_peer/src/tls.rs
@@ -11,7 +11,7 @@
 /// Name that every entry's certificate carries; addresses change, the role does not.
 pub const PEER_NAME: &str = "entry.jackdawpier.internal";
 /// Protocol name in the handshake; a change of the messages changes the number.
-const PROTOCOL: &[u8] = b"jackdawpier/1";
+const ALPN_PROTOCOL: &[u8] = b"jackdawpier/1";
 
 /// Files with the keys, all PEM.
 #[derive(Debug, Clone)]
@@ -24,7 +24,7 @@
     pub key_file: String,
 }
 
-pub(crate) fn configs(
+pub(crate) fn build_configs(
     files: &TlsFiles,
     transport: &Arc<quinn::TransportConfig>,
 ) -> Result<(quinn::ServerConfig, quinn::ClientConfig), SetupError> {
@@ -33,32 +33,32 @@
     let chain = certificates(&files.certificate_file)?;
     let mut roots = RootCertStore::empty();
     for certificate in authority {
-        roots.add(certificate).map_err(|error| failure(&files.authority_file, &error))?;
+        roots.add(certificate).map_err(|error| tls_error(&files.authority_file, &error))?;
     }
     let roots = Arc::new(roots);
     let verifier =
         WebPkiClientVerifier::builder_with_provider(Arc::clone(&roots), Arc::clone(&provider))
             .build()
-            .map_err(|error| failure(&files.authority_file, &error))?;
-    let in_key = |error: rustls::Error| failure(&files.key_file, &error);
+            .map_err(|error| tls_error(&files.authority_file, &error))?;
+    let key_error = |error: rustls::Error| tls_error(&files.key_file, &error);
     let mut server = rustls::ServerConfig::builder_with_provider(Arc::clone(&provider))
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .map_err(in_key)?
+        .map_err(key_error)?
         .with_client_cert_verifier(verifier)
         .with_single_cert(chain.clone(), private_key(&files.key_file)?)
-        .map_err(in_key)?;
-    server.alpn_protocols = vec![PROTOCOL.to_vec()];
+        .map_err(key_error)?;
+    server.alpn_protocols = vec![ALPN_PROTOCOL.to_vec()];
     let mut client = rustls::ClientConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .map_err(in_key)?
+        .map_err(key_error)?
         .with_root_certificates(roots)
         .with_client_auth_cert(chain, private_key(&files.key_file)?)
-        .map_err(in_key)?;
-    client.alpn_protocols = vec![PROTOCOL.to_vec()];
+        .map_err(key_error)?;
+    client.alpn_protocols = vec![ALPN_PROTOCOL.to_vec()];
     let server =
-        QuicServerConfig::try_from(server).map_err(|error| failure(&files.key_file, &error))?;
+        QuicServerConfig::try_from(server).map_err(|error| tls_error(&files.key_file, &error))?;
     let client =
-        QuicClientConfig::try_from(client).map_err(|error| failure(&files.key_file, &error))?;
+        QuicClientConfig::try_from(client).map_err(|error| tls_error(&files.key_file, &error))?;
     let mut server = quinn::ServerConfig::with_crypto(Arc::new(server));
     server.transport_config(Arc::clone(transport)).retry_token_lifetime(Duration::from_secs(15));
     let mut client = quinn::ClientConfig::new(Arc::new(client));
@@ -66,16 +66,16 @@
     Ok((server, client))
 }
 
-fn failure(file: &str, error: &impl ToString) -> SetupError {
+fn tls_error(file: &str, error: &impl ToString) -> SetupError {
     SetupError::Tls { file: file.to_owned(), detail: error.to_string() }
 }
 
 fn certificates(file: &str) -> Result<Vec<CertificateDer<'static>>, SetupError> {
     CertificateDer::pem_file_iter(file)
         .and_then(Iterator::collect)
-        .map_err(|error| failure(file, &error))
+        .map_err(|error| tls_error(file, &error))
 }
 
 fn private_key(file: &str) -> Result<PrivateKeyDer<'static>, SetupError> {
-    PrivateKeyDer::from_pem_file(file).map_err(|error| failure(file, &error))
+    PrivateKeyDer::from_pem_file(file).map_err(|error| tls_error(file, &error))
 }
--- a/crates/jackdawpierd/src/callers.rs
+++ b/crates/jackdawpierd/src/callers.rs
@@ -27,15 +27,15 @@
 const MAX_NAME_BYTES: usize = 256;
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Longest wait for the answer on a job, over all tries; connecting to its owner has limits of its own.
-const JOB_LIMIT: Duration = Duration::from_secs(2);
-const JOB_TRIES: u32 = 2;
-const JOB_TRY_INTERVAL: Duration = Duration::from_millis(50);
+const JOB_TIMEOUT: Duration = Duration::from_secs(2);
+const JOB_ATTEMPTS: u32 = 2;
+const JOB_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Part of the path between a class and a job's id.
 const JOBS_SEGMENT: &str = "jobs";
 
 /// The handler of the callers' port.
 #[derive(Clone)]
-pub(crate) struct Callers {
+pub(crate) struct CallerApi {
     entry: Arc<Entry>,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-impl Callers {
+impl CallerApi {
     pub(crate) fn new(entry: &Arc<Entry>) -> Self {
         Self { entry: Arc::clone(entry) }
     }
@@ -96,8 +96,8 @@
             None => None,
             Some(value) => {
                 let text = value.to_str().ok()?;
-                let is_good = !text.is_empty() && text.len() <= MAX_NAME_BYTES;
-                Some(is_good.then(|| text.into())?)
+                let is_valid = !text.is_empty() && text.len() <= MAX_NAME_BYTES;
+                Some(is_valid.then(|| text.into())?)
             }
         };
         let time_left = match request.headers.get(headers::DEADLINE_MS) {
@@ -141,7 +141,7 @@
         if class.kind != Kind::Refresh {
             return None;
         }
-        let found = find_job(&self.entry, &class.service, &id.into(), action).await;
+        let found = act_on_job(&self.entry, &class.service, &id.into(), action).await;
         Some(match found {
             Ok(Some(text)) => Reply::new(200, "application/json", text),
             Ok(None) => Reply::new(404, "text/plain", "no such job\n"),
@@ -157,16 +157,16 @@
 /// Shows a job or acts on it at the entry that owns its shard; `None` if that entry says that there
 /// is no such job. The error is "not run" where no owner could say, and "unknown" where the owner
 /// may have acted and its answer was lost.
-pub(crate) async fn find_job(
+pub(crate) async fn act_on_job(
     entry: &Arc<Entry>,
     service: &ServiceName,
     job: &JobId,
     action: JobAction,
 ) -> Result<Option<String>, Outcome> {
-    let deadline = entry.now() + JOB_LIMIT;
+    let deadline = entry.now() + JOB_TIMEOUT;
     let mut retry_after = OWNER_RETRY_AFTER;
-    for tries_left in (0..JOB_TRIES).rev() {
-        match ask_owner(entry, service, job, action, deadline).await {
+    for attempts_left in (0..JOB_ATTEMPTS).rev() {
+        match call_job_owner(entry, service, job, action, deadline).await {
             Ok(JobAnswer::Shown(text)) => return Ok(Some(text)),
             Ok(JobAnswer::NoSuchJob) => return Ok(None),
             Ok(JobAnswer::NotOwner) => retry_after = OWNER_RETRY_AFTER,
@@ -176,15 +176,15 @@
             }
             Err(_) => retry_after = entry.settings.timing.member_lease,
         }
-        if tries_left == 0 || entry.now() + JOB_TRY_INTERVAL >= deadline {
+        if attempts_left == 0 || entry.now() + JOB_RETRY_INTERVAL >= deadline {
             break;
         }
-        tokio::time::sleep(JOB_TRY_INTERVAL).await;
+        tokio::time::sleep(JOB_RETRY_INTERVAL).await;
     }
     Err(Outcome::NotRun { reason: RefusalReason::NoOwner, retry_after })
 }
 
-async fn ask_owner(
+async fn call_job_owner(
     entry: &Arc<Entry>,
     service: &ServiceName,
     job: &JobId,
@@ -222,7 +222,7 @@
     time.as_millis().div_ceil(1000)
 }
 
-fn status_of(reason: RefusalReason) -> u16 {
+fn http_status(reason: RefusalReason) -> u16 {
     match reason {
         RefusalReason::UnknownClass => 404,
         RefusalReason::BadRequest => 400,
@@ -233,7 +233,7 @@
 }
 
 /// The reason for people; a bound that the request has to keep is named.
-fn explained(reason: RefusalReason) -> String {
+fn reason_text(reason: RefusalReason) -> String {
     match reason {
         RefusalReason::TooLarge => {
             format!("{reason}: a job may have at most {MAX_ENTRY_BYTES} bytes in the store")
@@ -248,10 +248,14 @@
         Outcome::Answered(answer) => Reply::new(answer.status, &answer.content_type, answer.body),
         Outcome::NotRun { reason, retry_after } => {
             let retry_after_s = whole_seconds(retry_after);
-            Reply::new(status_of(reason), "text/plain", format!("not run: {}\n", explained(reason)))
-                .with_header(headers::REASON, reason)
-                .with_header(headers::RETRY_AFTER, retry_after_s)
-                .with_header(headers::RETRY_AFTER_MS, retry_after.as_millis())
+            Reply::new(
+                http_status(reason),
+                "text/plain",
+                format!("not run: {}\n", reason_text(reason)),
+            )
+            .with_header(headers::REASON, reason)
+            .with_header(headers::RETRY_AFTER, retry_after_s)
+            .with_header(headers::RETRY_AFTER_MS, retry_after.as_millis())
         }
         Outcome::Failed { detail } => Reply::new(502, "text/plain", format!("failed: {detail}\n")),
         Outcome::Unknown { detail } => {
@@ -261,7 +265,7 @@
     reply.with_header(headers::OUTCOME, name)
 }
 
-impl Handler for Callers {
+impl Handler for CallerApi {
     async fn handle(&self, request: IncomingRequest) -> Reply {
         let _in_flight = InFlight::new(&self.entry);
         if let Some(reply) = self.job(&request).await {
--- a/crates/jackdawpierd/src/capacity.rs
+++ b/crates/jackdawpierd/src/capacity.rs
@@ -5,7 +5,7 @@
 //! has one order at a time and one pool field at the platform, so it is in exactly one pool.
 
 mod fleet_view;
-mod held;
+mod holder_state;
 mod measures;
 
 use std::{
@@ -38,7 +38,7 @@
 
 use self::{
     fleet_view::DAY_S,
-    held::{CapacityRecord, Held},
+    holder_state::{CapacityRecord, HolderState},
     measures::{DayMeasures, Measures},
 };
 use crate::{demand::DemandMilli, entry::Entry};
@@ -49,7 +49,7 @@
 /// Time after which an order that shows no effect is sent again, under the same id.
 const RESEND_INTERVAL: Duration = Duration::from_secs(3);
 /// Time after which an order counts as failed.
-const ORDER_LIMIT: Duration = Duration::from_secs(1800);
+const ORDER_TIMEOUT: Duration = Duration::from_secs(1800);
 
 const MILLI: u32 = 1_000;
 /// What the role decides on.
@@ -92,16 +92,16 @@
     fleet: Fleet,
     ids: Vec<Arc<str>>,
     by_id: HashMap<Arc<str>, InstanceIx>,
-    domains: HashMap<String, u32>,
+    domain_ids: HashMap<String, u32>,
     pools: BTreeMap<Arc<str>, PoolIx>,
     planner: Planner,
-    held: Option<Held>,
+    holder: Option<HolderState>,
     next_generation: u64,
 }
 
 /// What the metrics show of the role.
 #[derive(Debug, Default)]
-pub(crate) struct CapacityFigures {
+pub(crate) struct CapacityGauges {
     /// Name, margin and buffer of each pool, in instances.
     pub(crate) pools: Vec<(String, i64, i64)>,
     pub(crate) wave_out: usize,
@@ -121,10 +121,10 @@
             fleet: Fleet::new(),
             ids: Vec::new(),
             by_id: HashMap::new(),
-            domains: HashMap::new(),
+            domain_ids: HashMap::new(),
             pools: BTreeMap::new(),
             planner: Planner::new(Ceilings::default()),
-            held: None,
+            holder: None,
             next_generation: 0,
         };
         let agent =
@@ -143,18 +143,18 @@
     }
 
     /// Drops what only the holder has.
-    pub(crate) fn lose(&self) {
-        self.lock().held = None;
+    pub(crate) fn drop_owned(&self) {
+        self.lock().holder = None;
     }
 
     /// Whether the cell can be handed over.
     pub(crate) fn is_settled(&self) -> bool {
-        self.lock().held.as_ref().is_none_or(|held| held.cell.is_settled())
+        self.lock().holder.as_ref().is_none_or(|holder| holder.cell.is_settled())
     }
 
     /// Whether another entry has taken the cell over.
     pub(crate) fn is_fenced(&self) -> bool {
-        self.lock().held.as_ref().is_some_and(|held| held.cell.is_fenced())
+        self.lock().holder.as_ref().is_some_and(|holder| holder.cell.is_fenced())
     }
 
     /// Follows the list and the configuration, and decides.
@@ -183,32 +183,32 @@
     }
 
     /// Figures for the metrics; empty where this entry is not the holder.
-    pub(crate) fn figures(&self) -> CapacityFigures {
+    pub(crate) fn figures(&self) -> CapacityGauges {
         let state = self.lock();
-        let Some(held) = state.held.as_ref().filter(|held| held.cell.is_open()) else {
-            return CapacityFigures::default();
+        let Some(holder) = state.holder.as_ref().filter(|holder| holder.cell.is_open()) else {
+            return CapacityGauges::default();
         };
         let pools = state.pools.iter().map(|(name, ix)| {
             let explanation = explain(state.fleet.pool(*ix));
             (name.to_string(), explanation.margin, i64::from(explanation.buffer))
         });
-        CapacityFigures {
+        CapacityGauges {
             pools: pools.collect(),
-            wave_out: held.wave.as_ref().map_or(0, |wave| wave.out().len()),
-            is_wave_stopped: held
+            wave_out: holder.wave.as_ref().map_or(0, |wave| wave.out().len()),
+            is_wave_stopped: holder
                 .wave
                 .as_ref()
                 .is_some_and(|wave| wave.state() == WaveState::Paused { by_itself: true }),
-            moves: held.moves,
+            moves: holder.moves,
         }
     }
 
     /// The sums of each day, the present one included; `None` where this entry is not the holder.
     pub(crate) fn days(&self) -> Option<String> {
         let state = self.lock();
-        let held = state.held.as_ref().filter(|held| held.cell.is_open())?;
-        let mut days = held.days.clone();
-        days.insert(held.measures.today.day, held.measures.today.clone());
+        let holder = state.holder.as_ref().filter(|holder| holder.cell.is_open())?;
+        let mut days = holder.days.clone();
+        days.insert(holder.measures.today.day, holder.measures.today.clone());
         let shown: Vec<&DayMeasures> = days.values().filter(|day| day.day > 0).collect();
         Some(serde_json::to_string(&shown).expect("sums are plain data"))
     }
@@ -216,7 +216,7 @@
     /// Every pool with its explanation; `None` where this entry is not the holder.
     pub(crate) fn pools(&self) -> Option<String> {
         let state = self.lock();
-        state.held.as_ref().filter(|held| held.cell.is_open())?;
+        state.holder.as_ref().filter(|holder| holder.cell.is_open())?;
         let shown: BTreeMap<&str, Explanation> = state
             .pools
             .iter()
@@ -228,13 +228,13 @@
     /// Explains a service's pool; `None` where this entry is not the holder.
     pub(crate) fn explain(&self, service: &str) -> Option<String> {
         let state = self.lock();
-        let held = state.held.as_ref().filter(|held| held.cell.is_open())?;
+        let holder = state.holder.as_ref().filter(|holder| holder.cell.is_open())?;
         let pool = state.pools.get(service)?;
         let explanation = explain(state.fleet.pool(*pool));
         let text = explanation.to_string();
         Some(
             json!({ "pool": service, "explanation": explanation, "text": text,
-            "wave_held_by": held.hold.map(|hold| hold.to_string()) })
+            "wave_held_by": holder.hold_reason.map(|hold| hold.to_string()) })
             .to_string(),
         )
     }
@@ -275,47 +275,48 @@
         let interval = entry.settings.timing.commit_interval;
         let mut cell = Cell::new(SHARD, entry.name().clone(), incarnation, interval);
         let outputs = cell.open(entry.now());
-        self.held = Some(Held {
+        self.holder = Some(HolderState {
             generation: self.next_generation,
             cell,
             wave_id: 0,
             wave: None,
             has_recovered_wave: false,
-            recovered: Vec::new(),
+            recovered_steps: Vec::new(),
             orders: HashMap::new(),
-            hold: None,
-            next_order: 0,
+            hold_reason: None,
+            last_order_number: 0,
             epoch: 0,
             moves: 0,
             measures: Measures::default(),
             days: BTreeMap::new(),
-            demands: BTreeMap::new(),
+            learned_demands: BTreeMap::new(),
         });
-        self.follow(entry.now(), outputs)
+        self.apply_outputs(entry.now(), outputs)
     }
 
     fn on_result(&mut self, now: Now, generation: u64, result: StoreResult) -> Vec<Action> {
-        let Some(held) = self.held.as_mut().filter(|held| held.generation == generation) else {
+        let Some(holder) = self.holder.as_mut().filter(|holder| holder.generation == generation)
+        else {
             return Vec::new();
         };
-        let outputs = held.cell.on_result(now, result);
-        self.follow(now, outputs)
+        let outputs = holder.cell.on_result(now, result);
+        self.apply_outputs(now, outputs)
     }
 
-    fn follow(&mut self, now: Now, outputs: Vec<Output<CapacityRecord>>) -> Vec<Action> {
+    fn apply_outputs(&mut self, now: Now, outputs: Vec<Output<CapacityRecord>>) -> Vec<Action> {
         let mut actions = Vec::new();
         for output in outputs {
-            let Some(held) = &mut self.held else { break };
+            let Some(holder) = &mut self.holder else { break };
             match output {
                 Output::Call(request) => {
-                    actions.push(Action::Store { generation: held.generation, request });
+                    actions.push(Action::Store { generation: holder.generation, request });
                 }
                 Output::Opened { epoch, states } => {
-                    held.epoch = epoch;
-                    held.recover(states);
+                    holder.epoch = epoch;
+                    holder.recover(states);
                 }
                 Output::Committed { up_to } => {
-                    for pending in held.orders.values_mut().filter(|p| p.number <= up_to) {
+                    for pending in holder.orders.values_mut().filter(|p| p.write_number <= up_to) {
                         if !std::mem::replace(&mut pending.is_durable, true) {
                             pending.sent_at = Some(now);
                             pending.first_sent_at = Some(now);
@@ -330,35 +331,35 @@
     }
 
     fn tick(&mut self, now: Now, inputs: &Inputs) -> Vec<Action> {
-        let peaks = self.follow_classes(&inputs.classes);
-        self.follow_list(&inputs.instances);
-        let Some(held) = self.held.as_mut().filter(|held| held.cell.is_open()) else {
+        let peaks = self.update_pools(&inputs.classes);
+        self.update_instances(&inputs.instances);
+        let Some(holder) = self.holder.as_mut().filter(|holder| holder.cell.is_open()) else {
             return self.tick_cell(now);
         };
-        held.restore_wave(&self.by_id);
-        held.learn(&peaks, inputs);
-        let forecasts = self.follow_demand(&peaks, inputs);
-        let mut actions = self.end_orders(now, &inputs.instances);
-        self.start_steps();
+        holder.restore_wave(&self.by_id);
+        holder.learn_demand(&peaks, inputs);
+        let forecasts = self.update_targets(&peaks, inputs);
+        let mut actions = self.finish_orders(now, &inputs.instances);
+        self.start_wave_steps();
         self.planner.set_ceilings(inputs.ceilings);
         self.plan_moves(now, &forecasts);
-        self.measure(now, inputs);
+        self.update_day_sums(now, inputs);
         actions.extend(self.resend(now));
         actions.extend(self.tick_cell(now));
         actions
     }
 
     fn tick_cell(&mut self, now: Now) -> Vec<Action> {
-        let Some(held) = &mut self.held else { return Vec::new() };
-        let outputs = held.cell.tick(now);
-        self.follow(now, outputs)
+        let Some(holder) = &mut self.holder else { return Vec::new() };
+        let outputs = holder.cell.tick(now);
+        self.apply_outputs(now, outputs)
     }
 
     /// Orders whose effect shows in the list are over, and so are those that took too long.
-    fn end_orders(&mut self, now: Now, instances: &[Instance]) -> Vec<Action> {
-        let Some(held) = &mut self.held else { return Vec::new() };
+    fn finish_orders(&mut self, now: Now, instances: &[Instance]) -> Vec<Action> {
+        let Some(holder) = &mut self.holder else { return Vec::new() };
         let by_id: HashMap<&str, &Instance> = instances.iter().map(|i| (&*i.id, i)).collect();
-        let ended: Vec<(Arc<str>, bool)> = held
+        let ended: Vec<(Arc<str>, bool)> = holder
             .orders
             .iter()
             .filter_map(|(id, pending)| {
@@ -366,41 +367,42 @@
                 let is_done = listed.is_some_and(|instance| {
                     instance.last_order == pending.order.id && instance.state == InstanceState::Live
                 });
-                let is_late = pending.first_sent_at.is_some_and(|at| now >= at + ORDER_LIMIT);
-                (is_done || is_late).then(|| (Arc::clone(id), is_done))
+                let has_timed_out =
+                    pending.first_sent_at.is_some_and(|at| now >= at + ORDER_TIMEOUT);
+                (is_done || has_timed_out).then(|| (Arc::clone(id), is_done))
             })
             .collect();
         for (id, is_done) in ended {
-            held.end_order(&id, is_done, self.by_id.get(&id).copied());
+            holder.finish_order(&id, is_done, self.by_id.get(&id).copied());
         }
         Vec::new()
     }
 
-    fn start_steps(&mut self) {
-        let Some(held) = &mut self.held else { return };
-        let Some(wave) = &mut held.wave else { return };
+    fn start_wave_steps(&mut self) {
+        let Some(holder) = &mut self.holder else { return };
+        let Some(wave) = &mut holder.wave else { return };
         let state_before = wave.state();
         request_surge(wave, &mut self.fleet, &mut self.planner);
         let phases: HashMap<InstanceIx, Phase> =
             self.by_id.values().map(|ix| (*ix, self.fleet.instance(*ix).phase)).collect();
         let (starts, held_by) = wave.start_steps(&mut self.fleet);
         let has_ended = state_before != WaveState::Finished && wave.state() == WaveState::Finished;
-        held.hold = held_by;
+        holder.hold_reason = held_by;
         for ix in starts {
             let id = Arc::clone(&self.ids[ix as usize]);
             let was_serving = phases[&ix] == Phase::Serving;
-            held.record_order(id, OrderAction::Maintain, held.wave_id, was_serving);
+            holder.queue_order(id, OrderAction::Maintain, holder.wave_id, was_serving);
         }
         if has_ended {
-            held.record_wave();
+            holder.write_wave();
         }
     }
 
     /// Fills pools from the free instances, and gives up what is not needed before long.
     fn plan_moves(&mut self, now: Now, forecasts: &HashMap<PoolIx, Forecast>) {
-        let Some(held) = &mut self.held else { return };
-        let wave = held.wave.as_ref().filter(|wave| wave.state() == WaveState::Running);
-        let outlooks: HashMap<PoolIx, ShrinkPolicy> = forecasts
+        let Some(holder) = &mut self.holder else { return };
+        let wave = holder.wave.as_ref().filter(|wave| wave.state() == WaveState::Running);
+        let shrink_policies: HashMap<PoolIx, ShrinkPolicy> = forecasts
             .iter()
             .map(|(pool, forecast)| {
                 let is_held = wave.is_some_and(|wave| wave.has_unfinished_in(&self.fleet, *pool));
@@ -413,40 +415,40 @@
             .collect();
         // A pool without a forecast is one whose declaration is gone; it is left as it is.
         let unknown = ShrinkPolicy { is_blocked: true, ..ShrinkPolicy::default() };
-        let outlook = |pool: PoolIx| outlooks.get(&pool).copied().unwrap_or(unknown);
-        for decided in self.planner.replan(now, &mut self.fleet, outlook) {
-            let to = decided.to.and_then(|pool| {
+        let shrink_policy = |pool: PoolIx| shrink_policies.get(&pool).copied().unwrap_or(unknown);
+        for planned_move in self.planner.replan(now, &mut self.fleet, shrink_policy) {
+            let to = planned_move.to.and_then(|pool| {
                 self.pools.iter().find(|(_, ix)| **ix == pool).map(|(name, _)| Arc::clone(name))
             });
             let name = to.unwrap_or_else(|| FREE_POOL.into());
-            let id = Arc::clone(&self.ids[decided.instance as usize]);
-            log::info!(event = "move", instance = &*id, pool = &*name; "{}", decided.reason);
-            held.moves += 1;
-            held.measures.today.moves += 1;
-            held.record_order(id, OrderAction::MoveTo(name), 0, false);
+            let id = Arc::clone(&self.ids[planned_move.instance as usize]);
+            log::info!(event = "move", instance = &*id, pool = &*name; "{}", planned_move.reason);
+            holder.moves += 1;
+            holder.measures.today.moves += 1;
+            holder.queue_order(id, OrderAction::MoveTo(name), 0, false);
         }
     }
 
     /// Adds to the day's sums, and makes them durable now and then.
-    fn measure(&mut self, now: Now, inputs: &Inputs) {
-        let Some(held) = &mut self.held else { return };
+    fn update_day_sums(&mut self, now: Now, inputs: &Inputs) {
+        let Some(holder) = &mut self.holder else { return };
         let buffer: u64 =
             self.pools.values().map(|ix| u64::from(explain(self.fleet.pool(*ix)).buffer)).sum();
-        let state = held.wave.as_ref().map(Wave::state);
-        let is_under_way = matches!(state, Some(WaveState::Running | WaveState::Paused { .. }));
-        held.measures.note_wave(now.as_secs(), is_under_way);
+        let state = holder.wave.as_ref().map(Wave::state);
+        let is_in_progress = matches!(state, Some(WaveState::Running | WaveState::Paused { .. }));
+        holder.measures.on_wave_status(now.as_secs(), is_in_progress);
         let day = inputs.since_epoch.as_secs() / DAY_S;
-        if let Some(sums) = held.measures.add(now.as_secs(), day, buffer) {
+        if let Some(sums) = holder.measures.accumulate(now.as_secs(), day, buffer) {
             let subject = format!("measures/{}", sums.day).into();
-            held.days.insert(sums.day, sums.clone());
-            held.cell.put(subject, &CapacityRecord::Day(sums));
+            holder.days.insert(sums.day, sums.clone());
+            holder.cell.put(subject, &CapacityRecord::Day(sums));
         }
     }
 
     fn resend(&mut self, now: Now) -> Vec<Action> {
-        let Some(held) = &mut self.held else { return Vec::new() };
+        let Some(holder) = &mut self.holder else { return Vec::new() };
         let mut actions = Vec::new();
-        for pending in held.orders.values_mut().filter(|pending| pending.is_durable) {
+        for pending in holder.orders.values_mut().filter(|pending| pending.is_durable) {
             if pending.sent_at.is_none_or(|at| now >= at + RESEND_INTERVAL) {
                 pending.sent_at = Some(now);
                 pending.first_sent_at.get_or_insert(now);
@@ -458,14 +460,14 @@
 
     fn wave(&mut self, now: Now, action: WaveAction) -> Option<(Value, Vec<Action>)> {
         let instances: Vec<InstanceIx> = self.by_id.values().copied().collect();
-        let held = self.held.as_mut().filter(|held| held.cell.is_open())?;
-        let state = held.wave.as_ref().map(Wave::state);
-        let is_over = matches!(state, None | Some(WaveState::Finished | WaveState::Cancelled));
-        let changes = match (action, &mut held.wave) {
+        let holder = self.holder.as_mut().filter(|holder| holder.cell.is_open())?;
+        let state = holder.wave.as_ref().map(Wave::state);
+        let has_ended = matches!(state, None | Some(WaveState::Finished | WaveState::Cancelled));
+        let is_accepted = match (action, &mut holder.wave) {
             (WaveAction::Status, _) => true,
-            (WaveAction::Start, _) if is_over => {
-                held.wave_id += 1;
-                held.wave = Some(Wave::new(instances));
+            (WaveAction::Start, _) if has_ended => {
+                holder.wave_id += 1;
+                holder.wave = Some(Wave::new(instances));
                 true
             }
             (WaveAction::Start, _) | (_, None) => false,
@@ -473,10 +475,10 @@
             (WaveAction::Resume, Some(wave)) => wave.resume(),
             (WaveAction::Cancel, Some(wave)) => wave.cancel(),
         };
-        if changes && action != WaveAction::Status {
-            held.record_wave();
+        if is_accepted && action != WaveAction::Status {
+            holder.write_wave();
         }
-        let answer = held.shown_wave(changes);
+        let answer = holder.wave_json(is_accepted);
         let actions = self.tick_cell(now);
         Some((answer, actions))
     }
--- a/crates/jackdawpierd/src/capacity/fleet_view.rs
+++ b/crates/jackdawpierd/src/capacity/fleet_view.rs
@@ -32,7 +32,7 @@
 impl State {
     /// One pool a service: the needs of its classes add up, and the strictest wish holds. Returns
     /// the targets at the declared peaks.
-    pub(super) fn follow_classes(&mut self, classes: &[Class]) -> BTreeMap<Arc<str>, PoolTarget> {
+    pub(super) fn update_pools(&mut self, classes: &[Class]) -> BTreeMap<Arc<str>, PoolTarget> {
         let mut targets: BTreeMap<Arc<str>, PoolTarget> = BTreeMap::new();
         for class in classes {
             let need = class.capacity_instances;
@@ -59,15 +59,16 @@
     }
 
     /// Sets each pool's target by its forecast, which is the declared peak until it has learned.
-    pub(super) fn follow_demand(
+    pub(super) fn update_targets(
         &mut self,
         peaks: &BTreeMap<Arc<str>, PoolTarget>,
         inputs: &Inputs,
     ) -> HashMap<PoolIx, Forecast> {
-        let Some(held) = &self.held else { return HashMap::new() };
+        let Some(holder) = &self.holder else { return HashMap::new() };
         let mut forecasts = HashMap::new();
         for (service, peak) in peaks {
-            let (Some(pool), Some(learned)) = (self.pools.get(service), held.demands.get(service))
+            let (Some(pool), Some(learned)) =
+                (self.pools.get(service), holder.learned_demands.get(service))
             else {
                 continue;
             };
@@ -87,7 +88,7 @@
         forecasts
     }
 
-    pub(super) fn follow_list(&mut self, instances: &[Instance]) {
+    pub(super) fn update_instances(&mut self, instances: &[Instance]) {
         for instance in instances {
             let ix = match self.by_id.get(&instance.id) {
                 Some(ix) => *ix,
@@ -95,7 +96,7 @@
             };
             let pool = self.pools.get(&instance.pool).copied();
             let is_ordered =
-                self.held.as_ref().is_some_and(|held| held.orders.contains_key(&instance.id));
+                self.holder.as_ref().is_some_and(|holder| holder.orders.contains_key(&instance.id));
             let phase = match (instance.state, pool) {
                 _ if is_ordered => Phase::InMaintenance,
                 (InstanceState::Live, Some(_)) => Phase::Serving,
@@ -110,15 +111,15 @@
                 before.into_iter().chain(pool).for_each(|pool| self.planner.mark_changed(pool));
             }
         }
-        let present: std::collections::HashSet<&str> = instances.iter().map(|i| &*i.id).collect();
-        let gone: Vec<InstanceIx> = self
+        let listed: std::collections::HashSet<&str> = instances.iter().map(|i| &*i.id).collect();
+        let removed: Vec<InstanceIx> = self
             .by_id
             .iter()
-            .filter(|(id, _)| !present.contains(&***id))
+            .filter(|(id, _)| !listed.contains(&***id))
             .map(|(_, ix)| *ix)
             .filter(|ix| self.fleet.instance(*ix).phase != Phase::Down)
             .collect();
-        for ix in gone {
+        for ix in removed {
             if let Some(pool) = self.fleet.instance(ix).pool {
                 self.planner.mark_changed(pool);
             }
@@ -127,17 +128,17 @@
     }
 
     fn add_instance(&mut self, instance: &Instance) -> InstanceIx {
-        let mut domain = |kind: &str, name: &str| {
-            let next = self.domains.len() as u32;
-            *self.domains.entry(format!("{kind}/{name}")).or_insert(next)
+        let mut domain_id = |kind: &str, name: &str| {
+            let next = self.domain_ids.len() as u32;
+            *self.domain_ids.entry(format!("{kind}/{name}")).or_insert(next)
         };
         let rack_name = format!("{}/{}", instance.zone, instance.rack);
-        let place = Location {
-            zone: domain("zone", &instance.zone),
-            switch: domain("switch", &instance.zone),
-            rack: domain("rack", &rack_name),
+        let location = Location {
+            zone: domain_id("zone", &instance.zone),
+            switch: domain_id("switch", &instance.zone),
+            rack: domain_id("rack", &rack_name),
         };
-        let ix = self.fleet.add_instance(place);
+        let ix = self.fleet.add_instance(location);
         self.ids.push(Arc::clone(&instance.id));
         self.by_id.insert(Arc::clone(&instance.id), ix);
         ix
--- a/crates/jackdawpierd/src/capacity/held.rs
+++ b/crates/jackdawpierd/src/capacity/holder_state.rs
@@ -27,17 +27,17 @@
     measures::{DayMeasures, Measures},
 };
 
-pub(super) struct Pending {
+pub(super) struct PendingOrder {
     pub(super) order: Order,
     pub(super) wave: u64,
     pub(super) was_serving: bool,
-    pub(super) number: u64,
+    pub(super) write_number: u64,
     pub(super) is_durable: bool,
     pub(super) sent_at: Option<Now>,
     pub(super) first_sent_at: Option<Now>,
 }
 
-pub(super) struct Held {
+pub(super) struct HolderState {
     pub(super) generation: u64,
     pub(super) cell: Cell<CapacityRecord>,
     pub(super) wave_id: u64,
@@ -45,10 +45,10 @@
     /// Whether a wave was read from the records and not filled yet.
     pub(super) has_recovered_wave: bool,
     /// Ends of the present wave's orders, from records read before the fleet was known.
-    pub(super) recovered: Vec<(Arc<str>, StepProgress, bool)>,
-    pub(super) orders: HashMap<Arc<str>, Pending>,
-    pub(super) hold: Option<HoldReason>,
-    pub(super) next_order: u64,
+    pub(super) recovered_steps: Vec<(Arc<str>, StepProgress, bool)>,
+    pub(super) orders: HashMap<Arc<str>, PendingOrder>,
+    pub(super) hold_reason: Option<HoldReason>,
+    pub(super) last_order_number: u64,
     pub(super) epoch: u64,
     /// Instances moved since this entry took the role.
     pub(super) moves: u64,
@@ -56,15 +56,15 @@
     /// Sums of the days that were written.
     pub(super) days: BTreeMap<u64, DayMeasures>,
     /// Learned demand by service, with the largest of the present slot.
-    pub(super) demands: BTreeMap<Arc<str>, LearnedDemand>,
+    pub(super) learned_demands: BTreeMap<Arc<str>, LearnedDemand>,
 }
 
 pub(super) struct LearnedDemand {
     pub(super) demand: DemandPattern,
     pub(super) slot: u64,
     /// Whether this holder has seen the slot from its start.
-    pub(super) is_whole: bool,
-    pub(super) largest_milli: u32,
+    pub(super) is_complete: bool,
+    pub(super) peak_milli: u32,
 }
 
 /// Durable state of one subject of the role's cell.
@@ -89,7 +89,7 @@
     },
 }
 
-impl Held {
+impl HolderState {
     pub(super) fn recover(&mut self, states: Vec<(Arc<str>, CapacityRecord)>) {
         let mut wave_state = None;
         let mut orders = Vec::new();
@@ -101,8 +101,8 @@
                 }
                 CapacityRecord::Demand { service, demand } => {
                     let learned =
-                        LearnedDemand { demand, slot: 0, is_whole: false, largest_milli: 0 };
-                    self.demands.insert(service, learned);
+                        LearnedDemand { demand, slot: 0, is_complete: false, peak_milli: 0 };
+                    self.learned_demands.insert(service, learned);
                 }
                 CapacityRecord::Wave { id, state } => {
                     self.wave_id = id;
@@ -117,14 +117,14 @@
             let id = Arc::clone(&order.instance);
             if wave == self.wave_id && wave > 0 {
                 let progress = end.unwrap_or(StepProgress::Out);
-                self.recovered.push((Arc::clone(&id), progress, was_serving));
+                self.recovered_steps.push((Arc::clone(&id), progress, was_serving));
             }
             if end.is_none() {
-                let pending = Pending {
+                let pending = PendingOrder {
                     order,
                     wave,
                     was_serving,
-                    number: 0,
+                    write_number: 0,
                     is_durable: true,
                     sent_at: None,
                     first_sent_at: None,
@@ -137,21 +137,21 @@
     }
 
     /// Learns the demand of each slot that has ended, and makes it durable.
-    pub(super) fn learn(&mut self, peaks: &BTreeMap<Arc<str>, PoolTarget>, inputs: &Inputs) {
+    pub(super) fn learn_demand(&mut self, peaks: &BTreeMap<Arc<str>, PoolTarget>, inputs: &Inputs) {
         let slot = inputs.since_epoch.as_secs() / SLOT_LENGTH.as_secs();
         for (service, peak) in peaks {
             let milli = inputs.demand_milli.get(service).copied().unwrap_or(0);
-            let learned = self.demands.entry(Arc::clone(service)).or_insert_with(|| {
+            let learned = self.learned_demands.entry(Arc::clone(service)).or_insert_with(|| {
                 let demand = DemandPattern::new(peak.need);
-                LearnedDemand { demand, slot, is_whole: false, largest_milli: 0 }
+                LearnedDemand { demand, slot, is_complete: false, peak_milli: 0 }
             });
             learned.demand.set_peak(peak.need);
             if learned.slot != slot {
                 // A slot that this holder has not seen from its start to its end teaches nothing.
                 let is_next = learned.slot + 1 == slot;
-                if is_next && learned.is_whole && learned.largest_milli > 0 {
+                if is_next && learned.is_complete && learned.peak_milli > 0 {
                     let start = SLOT_LENGTH * u32::try_from(learned.slot).unwrap_or(u32::MAX);
-                    let demand = f64::from(learned.largest_milli) / f64::from(MILLI);
+                    let demand = f64::from(learned.peak_milli) / f64::from(MILLI);
                     learned.demand.observe(start, day_kind(start), demand);
                     let record = CapacityRecord::Demand {
                         service: Arc::clone(service),
@@ -160,10 +160,10 @@
                     self.cell.put(format!("demand/{service}").into(), &record);
                 }
                 learned.slot = slot;
-                learned.is_whole = is_next;
-                learned.largest_milli = 0;
+                learned.is_complete = is_next;
+                learned.peak_milli = 0;
             }
-            learned.largest_milli = learned.largest_milli.max(milli);
+            learned.peak_milli = learned.peak_milli.max(milli);
         }
     }
 
@@ -175,7 +175,7 @@
         self.has_recovered_wave = false;
         let Some(wave) = &mut self.wave else { return };
         let steps: Vec<(InstanceIx, StepProgress, bool)> = self
-            .recovered
+            .recovered_steps
             .drain(..)
             .filter_map(|(id, progress, was_serving)| {
                 Some((*by_id.get(&id)?, progress, was_serving))
@@ -187,26 +187,26 @@
         }
     }
 
-    pub(super) fn record_order(
+    pub(super) fn queue_order(
         &mut self,
         id: Arc<str>,
         action: OrderAction,
         wave: u64,
         was_serving: bool,
     ) {
-        self.next_order += 1;
+        self.last_order_number += 1;
         let order_id = match action {
             OrderAction::Maintain => format!("wave-{wave}-{id}"),
-            OrderAction::MoveTo(_) => format!("move-{}-{}", self.epoch, self.next_order),
+            OrderAction::MoveTo(_) => format!("move-{}-{}", self.epoch, self.last_order_number),
         };
         let order = Order { id: order_id, instance: Arc::clone(&id), action };
         let record = CapacityRecord::Order { order: order.clone(), wave, was_serving, end: None };
-        let Some(number) = self.cell.put(order_subject(&order), &record) else { return };
-        let pending = Pending {
+        let Some(write_number) = self.cell.put(order_key(&order), &record) else { return };
+        let pending = PendingOrder {
             order,
             wave,
             was_serving,
-            number,
+            write_number,
             is_durable: false,
             sent_at: None,
             first_sent_at: None,
@@ -214,10 +214,10 @@
         self.orders.insert(id, pending);
     }
 
-    pub(super) fn end_order(&mut self, id: &Arc<str>, is_done: bool, ix: Option<InstanceIx>) {
+    pub(super) fn finish_order(&mut self, id: &Arc<str>, is_done: bool, ix: Option<InstanceIx>) {
         let Some(pending) = self.orders.remove(id) else { return };
         let progress = if is_done { StepProgress::Done } else { StepProgress::Failed };
-        let subject = order_subject(&pending.order);
+        let subject = order_key(&pending.order);
         let record = CapacityRecord::Order {
             order: pending.order,
             wave: pending.wave,
@@ -231,18 +231,18 @@
             let before = wave.state();
             wave.finish_step(ix, is_done);
             if wave.state() != before {
-                self.record_wave();
+                self.write_wave();
             }
         }
     }
 
-    pub(super) fn record_wave(&mut self) {
+    pub(super) fn write_wave(&mut self) {
         let Some(wave) = &self.wave else { return };
         let record = CapacityRecord::Wave { id: self.wave_id, state: wave.state() };
         self.cell.put("wave".into(), &record);
     }
 
-    pub(super) fn shown_wave(&self, changed: bool) -> Value {
+    pub(super) fn wave_json(&self, changed: bool) -> Value {
         let Some(wave) = &self.wave else {
             return json!({ "accepted": changed, "wave": Value::Null, "moves": self.moves });
         };
@@ -254,14 +254,14 @@
             "out": wave.out().len(),
             "pending": wave.pending_count(),
             "moves": self.moves,
-            "held_by": self.hold.map(|hold| hold.to_string()),
+            "held_by": self.hold_reason.map(|hold| hold.to_string()),
         })
     }
 }
 
 /// A wave's record of an instance must outlive later moves of it, or a new holder would repeat the
 /// maintenance; so the two kinds of orders have subjects of their own.
-fn order_subject(order: &Order) -> Arc<str> {
+fn order_key(order: &Order) -> Arc<str> {
     match order.action {
         OrderAction::Maintain => format!("maintain/{}", order.instance).into(),
         OrderAction::MoveTo(_) => format!("move/{}", order.instance).into(),
--- a/crates/jackdawpierd/src/capacity/measures.rs
+++ b/crates/jackdawpierd/src/capacity/measures.rs
@@ -25,9 +25,9 @@
 #[derive(Debug, Default)]
 pub(crate) struct Measures {
     pub(crate) today: DayMeasures,
-    last_s: Option<u64>,
-    written_s: u64,
-    wave_since_s: Option<u64>,
+    last_updated_s: Option<u64>,
+    last_written_s: u64,
+    wave_started_s: Option<u64>,
 }
 
 impl Measures {
@@ -40,30 +40,30 @@
 
     /// Adds the time since the last call, with this buffer. Returns the sums that are to be made
     /// durable now, if any.
-    pub(crate) fn add(&mut self, now_s: u64, day: u64, buffer: u64) -> Option<DayMeasures> {
+    pub(crate) fn accumulate(&mut self, now_s: u64, day: u64, buffer: u64) -> Option<DayMeasures> {
         let finished = (self.today.day != day).then(|| {
             std::mem::replace(&mut self.today, DayMeasures { day, ..DayMeasures::default() })
         });
-        let passed_s = self.last_s.map_or(0, |last| now_s.saturating_sub(last));
-        self.last_s = Some(now_s);
+        let passed_s = self.last_updated_s.map_or(0, |last| now_s.saturating_sub(last));
+        self.last_updated_s = Some(now_s);
         self.today.buffer_instance_s += (buffer * passed_s) as f64;
         self.today.observed_s += passed_s as f64;
         if let Some(finished) = finished.filter(|day| day.observed_s > 0.0) {
             return Some(finished);
         }
-        let is_due = now_s >= self.written_s + WRITE_INTERVAL_S;
+        let is_due = now_s >= self.last_written_s + WRITE_INTERVAL_S;
         if is_due {
-            self.written_s = now_s;
+            self.last_written_s = now_s;
         }
         is_due.then(|| self.today.clone())
     }
 
     /// Notes whether a wave is under way.
-    pub(crate) fn note_wave(&mut self, now_s: u64, is_running: bool) {
-        match (self.wave_since_s, is_running) {
-            (None, true) => self.wave_since_s = Some(now_s),
+    pub(crate) fn on_wave_status(&mut self, now_s: u64, is_running: bool) {
+        match (self.wave_started_s, is_running) {
+            (None, true) => self.wave_started_s = Some(now_s),
             (Some(since), false) => {
-                self.wave_since_s = None;
+                self.wave_started_s = None;
                 self.today.waves += 1;
                 self.today.roll_out_s += now_s.saturating_sub(since) as f64;
             }
--- a/crates/jackdawpierd/src/commands/run.rs
+++ b/crates/jackdawpierd/src/commands/run.rs
@@ -8,8 +8,8 @@
 use tokio::{net::TcpListener, sync::watch};
 
 use crate::{
-    callers::Callers, control, entry::Entry, exit_status::ExitStatus, heartbeats, instance_reader,
-    logging, operators, peers, stop, view_sync,
+    callers::CallerApi, control, entry::Entry, exit_status::ExitStatus, heartbeats,
+    instance_reader, logging, operators, peers, stop, view_sync,
 };
 
 /// Runs the daemon with `settings`.
@@ -70,7 +70,7 @@
             read_timeout: limits.read_timeout,
             body_bytes: limits.body_bytes,
         },
-        Callers::new(&entry),
+        CallerApi::new(&entry),
         stopping,
     ));
     stop::wait_and_stop(&entry, &stop_callers, server).await;
--- a/crates/jackdawpierd/src/control.rs
+++ b/crates/jackdawpierd/src/control.rs
@@ -17,15 +17,15 @@
 
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Interval of what asks workers and the platform.
-const TEND_INTERVAL: Duration = Duration::from_millis(500);
+const SLOW_TICK_INTERVAL: Duration = Duration::from_millis(500);
 /// Longest wait for keyed requests in flight before a shard is handed over.
-const RELEASE_LIMIT: Duration = Duration::from_secs(1);
+const RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Starts the loop.
 pub(crate) fn spawn(entry: &Arc<Entry>) {
     let entry = Arc::clone(entry);
     tokio::spawn(async move {
-        let mut control = Control { releasing_since: HashMap::new(), tend_at: Now::ZERO };
+        let mut control = Control { releasing_since: HashMap::new(), next_slow_tick_at: Now::ZERO };
         loop {
             tokio::time::sleep(TICK_INTERVAL).await;
             control.tick(&entry);
@@ -35,26 +35,26 @@
 
 struct Control {
     releasing_since: HashMap<String, Now>,
-    tend_at: Now,
+    next_slow_tick_at: Now,
 }
 
 impl Control {
     fn tick(&mut self, entry: &Arc<Entry>) {
         tick_membership(entry);
-        drop_after_lost_lease(entry);
+        drop_shards_without_lease(entry);
         tick_ownership(entry);
         self.tick_releases(entry);
         let now = entry.now();
-        let is_tending = now >= self.tend_at;
-        if is_tending {
-            self.tend_at = now + TEND_INTERVAL;
-            forget_gone_peers(entry);
+        let is_slow_tick = now >= self.next_slow_tick_at;
+        if is_slow_tick {
+            self.next_slow_tick_at = now + SLOW_TICK_INTERVAL;
+            remove_departed_peers(entry);
             entry.capacity.tick(entry);
         }
         for service in entry.services() {
             service.tick();
-            if is_tending {
-                service.tend_jobs();
+            if is_slow_tick {
+                service.renew_and_poll_tasks();
                 entry.demand().sample(&service.name, service.demand_milli());
             }
         }
@@ -66,14 +66,14 @@
         self.releasing_since.retain(|shard, _| releasing.contains(shard));
         for shard in releasing {
             let now = entry.now();
-            let since = *self.releasing_since.entry(shard.clone()).or_insert(now);
+            let releasing_since = *self.releasing_since.entry(shard.clone()).or_insert(now);
             let is_settled = if shard == capacity::SHARD {
                 entry.capacity.is_settled()
             } else {
-                entry.service(&shard.as_str().into()).release()
+                entry.service(&shard.as_str().into()).begin_release()
             };
-            if is_settled || now >= since + RELEASE_LIMIT {
-                lose(entry, &shard);
+            if is_settled || now >= releasing_since + RELEASE_TIMEOUT {
+                drop_owned_state(entry, &shard);
                 entry.coordination().ownership.on_cell_settled(&shard);
             }
         }
@@ -81,18 +81,18 @@
 }
 
 /// The demand that an entry told before it went is told by its successor now.
-fn forget_gone_peers(entry: &Entry) {
+fn remove_departed_peers(entry: &Entry) {
     let members: BTreeSet<EntryId> =
         entry.coordination().view.members().map(|member| member.entry.clone()).collect();
     entry.demand().retain(|peer| members.contains(peer));
 }
 
 /// Drops what only the owner of a shard has.
-fn lose(entry: &Arc<Entry>, shard: &str) {
+fn drop_owned_state(entry: &Arc<Entry>, shard: &str) {
     if shard == capacity::SHARD {
-        entry.capacity.lose();
+        entry.capacity.drop_owned();
     } else {
-        entry.service(&shard.into()).lose();
+        entry.service(&shard.into()).drop_owned();
     }
 }
 
@@ -121,7 +121,7 @@
 }
 
 /// Without the lease that its records stand under, nothing durable is decided here any more.
-fn drop_after_lost_lease(entry: &Arc<Entry>) {
+fn drop_shards_without_lease(entry: &Arc<Entry>) {
     let lost = {
         let mut coordination = entry.coordination();
         let lease = coordination.membership.lease(entry.now());
@@ -132,7 +132,7 @@
     };
     for shard in lost {
         log::warn!(event = "shard_lost", shard = shard.as_str(); "the member lease can't be relied on");
-        lose(entry, &shard);
+        drop_owned_state(entry, &shard);
     }
 }
 
@@ -140,12 +140,12 @@
     let now = entry.now();
     for service in entry.services() {
         if service.is_fenced() {
-            service.lose();
+            service.drop_owned();
             entry.coordination().ownership.on_fenced(&service.name);
         }
     }
     if entry.capacity.is_fenced() {
-        entry.capacity.lose();
+        entry.capacity.drop_owned();
         entry.coordination().ownership.on_fenced(capacity::SHARD);
     }
     let outputs = {
@@ -162,10 +162,10 @@
         ownership.set_shards(shards);
         ownership.tick(now, membership.lease(now), view)
     };
-    outputs.into_iter().for_each(|output| follow(entry, output));
+    outputs.into_iter().for_each(|output| handle_output(entry, output));
 }
 
-fn follow(entry: &Arc<Entry>, output: Output) {
+fn handle_output(entry: &Arc<Entry>, output: Output) {
     match output {
         Output::Call { shard, request } => {
             let entry = Arc::clone(entry);
@@ -173,7 +173,7 @@
                 let result = entry.call_store(request).await;
                 let now = entry.now();
                 let outputs = entry.coordination().ownership.on_result(now, &shard, &result);
-                outputs.into_iter().for_each(|output| follow(&entry, output));
+                outputs.into_iter().for_each(|output| handle_output(&entry, output));
             });
         }
         Output::Acquired { shard } => {
--- a/crates/jackdawpierd/src/demand.rs
+++ b/crates/jackdawpierd/src/demand.rs
@@ -8,7 +8,7 @@
 use jackdawpier_kernel::ids::{EntryId, ServiceName};
 
 /// Weight of a new sample, one in this many; samples come twice a second.
-const SMOOTHING: f64 = 120.0;
+const SMOOTHING_SAMPLES: f64 = 120.0;
 
 /// Instances that each service would fill, in thousandths.
 pub(crate) type DemandMilli = BTreeMap<ServiceName, u32>;
@@ -23,8 +23,8 @@
 impl DemandView {
     /// Takes one sample of a service.
     pub(crate) fn sample(&mut self, service: &ServiceName, demand_milli: u32) {
-        let known = self.own.entry(service.clone()).or_default();
-        *known += (f64::from(demand_milli) - *known) / SMOOTHING;
+        let average = self.own.entry(service.clone()).or_default();
+        *average += (f64::from(demand_milli) - *average) / SMOOTHING_SAMPLES;
     }
 
     /// What this entry tells its peers.
@@ -33,7 +33,7 @@
     }
 
     /// Takes over what a peer tells.
-    pub(crate) fn heard(&mut self, peer: &EntryId, demand: DemandMilli) {
+    pub(crate) fn on_peer_report(&mut self, peer: &EntryId, demand: DemandMilli) {
         self.peers.insert(peer.clone(), demand);
     }
 
--- a/crates/jackdawpierd/src/entry.rs
+++ b/crates/jackdawpierd/src/entry.rs
@@ -32,7 +32,7 @@
 /// When a peer was last heard.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PeerContact {
-    pub(crate) heard_at: Now,
+    pub(crate) last_heartbeat_at: Now,
     pub(crate) is_ready: bool,
 }
 
@@ -58,10 +58,10 @@
     pub(crate) capacity: Capacity,
     pub(crate) is_stopping: AtomicBool,
     /// Whether the instance list was read at least once.
-    pub(crate) is_list_loaded: AtomicBool,
+    pub(crate) is_instance_list_loaded: AtomicBool,
     pub(crate) requests_in_flight: AtomicUsize,
     /// Held while documents of a peer are on their way here.
-    pub(crate) fetching_documents: tokio::sync::Mutex<()>,
+    pub(crate) document_fetch: tokio::sync::Mutex<()>,
     started_at: Instant,
     next_request: AtomicU64,
     coordination: Mutex<Coordination>,
@@ -100,9 +100,9 @@
             traces: Traces::new(&settings),
             capacity: Capacity::new(),
             is_stopping: AtomicBool::new(false),
-            is_list_loaded: AtomicBool::new(false),
+            is_instance_list_loaded: AtomicBool::new(false),
             requests_in_flight: AtomicUsize::new(0),
-            fetching_documents: tokio::sync::Mutex::default(),
+            document_fetch: tokio::sync::Mutex::default(),
             started_at: Instant::now(),
             next_request: AtomicU64::new(0),
             coordination: Mutex::new(coordination),
@@ -135,7 +135,7 @@
     /// Whether callers may be served: the configuration is in force here, and the executors are
     /// known, without which every request would be refused.
     pub(crate) fn is_ready(&self) -> bool {
-        self.is_list_loaded.load(Ordering::Relaxed) && self.has_configuration()
+        self.is_instance_list_loaded.load(Ordering::Relaxed) && self.has_configuration()
     }
 
     fn has_configuration(&self) -> bool {
--- a/crates/jackdawpierd/src/executor_client.rs
+++ b/crates/jackdawpierd/src/executor_client.rs
@@ -13,12 +13,12 @@
 const MAX_IDLE_CONNECTIONS: usize = 8;
 /// Idle connections are dropped before an executor could drop them.
 const MAX_IDLE_AGE: Duration = Duration::from_secs(3);
-const SERVER_ERROR: u16 = 500;
+const MIN_SERVER_ERROR_STATUS: u16 = 500;
 
 /// The end of one attempt.
 #[derive(Debug)]
 pub(crate) struct Attempt {
-    pub(crate) end: AttemptOutcome,
+    pub(crate) outcome: AttemptOutcome,
     /// The whole answer, if there is one.
     pub(crate) answer: Option<Answer>,
     /// What went wrong, for the caller and the log.
@@ -28,8 +28,8 @@
 }
 
 impl Attempt {
-    fn failed(end: AttemptOutcome, detail: impl ToString) -> Self {
-        Self { end, answer: None, detail: detail.to_string(), is_leaving: false }
+    fn failed(outcome: AttemptOutcome, detail: impl ToString) -> Self {
+        Self { outcome, answer: None, detail: detail.to_string(), is_leaving: false }
     }
 }
 
@@ -86,42 +86,46 @@
             .build();
         match self.agent.run(request) {
             Err(error) => Attempt::failed(classify(&error), error),
-            Ok(response) => self.read(work, response),
+            Ok(response) => self.read_answer(work, response),
         }
     }
 
-    fn read(&self, work: &WorkRequest, mut response: ureq::http::Response<ureq::Body>) -> Attempt {
+    fn read_answer(
+        &self,
+        work: &WorkRequest,
+        mut response: ureq::http::Response<ureq::Body>,
+    ) -> Attempt {
         let header = |name: &str| {
             response.headers().get(name).and_then(|value| value.to_str().ok()).map(str::to_owned)
         };
         let is_leaving = header(headers::INSTANCE_STATE).as_deref() == Some(headers::LEAVING);
         let is_not_run = header(headers::NOT_RUN).is_some();
-        let repeated_id = header(headers::REQUEST_ID);
+        let echoed_id = header(headers::REQUEST_ID);
         let content_type =
             header("content-type").unwrap_or_else(|| "application/octet-stream".to_owned());
         let status = response.status().as_u16();
         let is_delimited =
             header("content-length").is_some() || header("transfer-encoding").is_some();
         let body = response.body_mut().with_config().limit(self.max_answer_bytes).read_to_vec();
-        let end = match &body {
+        let outcome = match &body {
             _ if is_not_run => AttemptOutcome::Declined { is_leaving },
             Err(_) => AttemptOutcome::Lost,
             // Without a length or an end marker, a whole answer looks like a broken one.
             Ok(body) if !is_delimited && !body.is_empty() => AttemptOutcome::Lost,
-            Ok(_) if repeated_id.is_some_and(|id| id != work.request_id) => AttemptOutcome::Lost,
-            Ok(_) if status >= SERVER_ERROR => AttemptOutcome::Failed,
+            Ok(_) if echoed_id.is_some_and(|id| id != work.request_id) => AttemptOutcome::Lost,
+            Ok(_) if status >= MIN_SERVER_ERROR_STATUS => AttemptOutcome::Failed,
             Ok(_) => AttemptOutcome::Answered,
         };
         let detail = match &body {
             Err(error) => error.to_string(),
             Ok(_) => format!("executor's status {status}"),
         };
-        let answer = body.ok().filter(|_| end == AttemptOutcome::Answered).map(|body| Answer {
+        let answer = body.ok().filter(|_| outcome == AttemptOutcome::Answered).map(|body| Answer {
             status,
             content_type,
             body,
         });
-        Attempt { end, answer, detail, is_leaving }
+        Attempt { outcome, answer, detail, is_leaving }
     }
 }
 
--- a/crates/jackdawpierd/src/heartbeats.rs
+++ b/crates/jackdawpierd/src/heartbeats.rs
@@ -15,13 +15,13 @@
     messages::{Heartbeat, PeerAnswer, PeerRequest},
 };
 
-const HEARTBEAT_LIMIT: Duration = Duration::from_millis(800);
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(800);
 /// Silence after which a peer that sends documents is given up.
-const DOCUMENTS_SILENCE: Duration = Duration::from_millis(800);
+const DOCUMENTS_IDLE_TIMEOUT: Duration = Duration::from_millis(800);
 /// Most bytes of documents beside a heartbeat, which has to be back in time on a slow link too.
-const MOST_BESIDE_BYTES: usize = 16 * 1024;
+const MAX_ATTACHED_BYTES: usize = 16 * 1024;
 /// Most bytes of documents in an answer of their own; above the largest one.
-const MOST_ALONE_BYTES: usize = 4 * 1024 * 1024;
+const MAX_REQUESTED_BYTES: usize = 4 * 1024 * 1024;
 
 /// Starts the heartbeats to all members, and to the seeds while no member is known.
 pub(crate) fn spawn(entry: &Arc<Entry>) {
@@ -30,7 +30,7 @@
         loop {
             for address in targets(&entry) {
                 let entry = Arc::clone(&entry);
-                tokio::spawn(async move { beat(&entry, address).await });
+                tokio::spawn(async move { send_heartbeat(&entry, address).await });
             }
             tokio::time::sleep(entry.settings.timing.heartbeat_interval).await;
         }
@@ -63,11 +63,11 @@
     }
 }
 
-async fn beat(entry: &Arc<Entry>, address: SocketAddr) {
+async fn send_heartbeat(entry: &Arc<Entry>, address: SocketAddr) {
     let request = PeerRequest::Heartbeat(own_heartbeat(entry));
-    let answer = entry.endpoint.call(address, &request, HEARTBEAT_LIMIT).await;
+    let answer = entry.endpoint.call(address, &request, HEARTBEAT_TIMEOUT).await;
     if let Ok(PeerAnswer::Heartbeat { heartbeat, newer }) = answer {
-        take(entry, &heartbeat, newer);
+        on_heartbeat(entry, &heartbeat, newer);
         if entry.coordination().configuration.is_behind(&heartbeat.in_force) {
             fetch_documents(entry, address).await;
         }
@@ -75,34 +75,37 @@
 }
 
 /// Documents that the peer lacks and that are small enough to go beside a heartbeat.
-pub(crate) fn documents_beside(
+pub(crate) fn attached_documents(
     entry: &Entry,
-    theirs: &BTreeMap<String, Revision>,
+    peer_revisions: &BTreeMap<String, Revision>,
 ) -> Vec<Document> {
-    entry.coordination().configuration.newer_than(theirs, MOST_BESIDE_BYTES)
+    entry.coordination().configuration.newer_than(peer_revisions, MAX_ATTACHED_BYTES)
 }
 
 /// Documents that the peer lacks and has asked for.
-pub(crate) fn documents_alone(entry: &Entry, theirs: &BTreeMap<String, Revision>) -> Vec<Document> {
-    entry.coordination().configuration.newer_than(theirs, MOST_ALONE_BYTES)
+pub(crate) fn requested_documents(
+    entry: &Entry,
+    peer_revisions: &BTreeMap<String, Revision>,
+) -> Vec<Document> {
+    entry.coordination().configuration.newer_than(peer_revisions, MAX_REQUESTED_BYTES)
 }
 
 /// Asks the peer for the documents that are newer there. One peer is asked at a time, so that a
 /// document that fills the link isn't on its way twice.
 async fn fetch_documents(entry: &Arc<Entry>, address: SocketAddr) {
-    let Ok(_turn) = entry.fetching_documents.try_lock() else { return };
+    let Ok(_fetch_guard) = entry.document_fetch.try_lock() else { return };
     let known = entry.coordination().configuration.revisions();
     let request = PeerRequest::Documents { known };
-    let answer = entry.endpoint.fetch(address, &request, DOCUMENTS_SILENCE).await;
+    let answer = entry.endpoint.fetch(address, &request, DOCUMENTS_IDLE_TIMEOUT).await;
     if let Ok(PeerAnswer::Documents(newer)) = answer
-        && offer(entry, newer)
+        && adopt_documents(entry, newer)
     {
         refresh_services(entry);
     }
 }
 
 /// Adopts documents that are newer than what is in force; returns whether one was.
-fn offer(entry: &Entry, documents: Vec<Document>) -> bool {
+fn adopt_documents(entry: &Entry, documents: Vec<Document>) -> bool {
     let mut coordination = entry.coordination();
     documents.into_iter().fold(false, |is_changed, document| {
         coordination.configuration.adopt_if_newer(document) | is_changed
@@ -110,13 +113,13 @@
 }
 
 /// Learns from a heartbeat, in either direction.
-pub(crate) fn take(entry: &Arc<Entry>, heartbeat: &Heartbeat, newer: Vec<Document>) {
+pub(crate) fn on_heartbeat(entry: &Arc<Entry>, heartbeat: &Heartbeat, newer: Vec<Document>) {
     let now = entry.now();
-    entry.demand().heard(&heartbeat.entry, heartbeat.demand_milli.clone());
-    let is_changed = offer(entry, newer);
+    entry.demand().on_peer_report(&heartbeat.entry, heartbeat.demand_milli.clone());
+    let is_changed = adopt_documents(entry, newer);
     {
         let mut coordination = entry.coordination();
-        let contact = PeerContact { heard_at: now, is_ready: heartbeat.is_ready };
+        let contact = PeerContact { last_heartbeat_at: now, is_ready: heartbeat.is_ready };
         coordination.contacts.insert(heartbeat.entry.clone(), contact);
         let report = PeerReport {
             peer: heartbeat.entry.clone(),
--- a/crates/jackdawpierd/src/instance_reader.rs
+++ b/crates/jackdawpierd/src/instance_reader.rs
@@ -11,7 +11,7 @@
 use crate::entry::Entry;
 
 /// How long the platform may be silent. How long the list is depends on the fleet.
-const LIMITS: ClientLimits = ClientLimits {
+const CLIENT_LIMITS: ClientLimits = ClientLimits {
     connect: Duration::from_millis(500),
     silence: Duration::from_secs(1),
     idle_connections: 1,
@@ -24,11 +24,11 @@
     let runtime = tokio::runtime::Handle::current();
     std::thread::spawn(move || {
         let _context = runtime.enter();
-        let agent = jackdawpier_client::agent(LIMITS);
+        let agent = jackdawpier_client::agent(CLIENT_LIMITS);
         let url = format!("{}{INSTANCES_PATH}", entry.settings.instance_list_url);
         loop {
-            match read(&agent, &url) {
-                Ok(list) => take(&entry, list),
+            match fetch_list(&agent, &url) {
+                Ok(list) => apply_list(&entry, list),
                 Err(error) => log::warn!(event = "instance_list_failed"; "{error}"),
             }
             std::thread::sleep(entry.settings.timing.instance_list_interval);
@@ -36,7 +36,7 @@
     });
 }
 
-fn read(agent: &ureq::Agent, url: &str) -> Result<InstanceList, String> {
+fn fetch_list(agent: &ureq::Agent, url: &str) -> Result<InstanceList, String> {
     let mut response = agent.get(url).call().map_err(|error| error.to_string())?;
     if !response.status().is_success() {
         return Err(format!("status {}", response.status()));
@@ -50,9 +50,9 @@
     serde_json::from_slice(&body).map_err(|error| error.to_string())
 }
 
-fn take(entry: &Arc<Entry>, list: InstanceList) {
+fn apply_list(entry: &Arc<Entry>, list: InstanceList) {
     if *entry.instances() == list.instances {
-        entry.is_list_loaded.store(true, Ordering::Relaxed);
+        entry.is_instance_list_loaded.store(true, Ordering::Relaxed);
         return;
     }
     entry.set_instances(list.instances);
@@ -60,5 +60,5 @@
         service.refresh();
     }
     // Only now can a request find executors.
-    entry.is_list_loaded.store(true, Ordering::Relaxed);
+    entry.is_instance_list_loaded.store(true, Ordering::Relaxed);
 }
--- a/crates/jackdawpierd/src/lib.rs
+++ b/crates/jackdawpierd/src/lib.rs
@@ -20,7 +20,6 @@
 mod operators;
 mod peers;
 mod plugins;
-mod recall;
 mod router;
 mod service;
 mod service_jobs;
@@ -30,6 +29,7 @@
 mod traces;
 mod view_sync;
 mod worker_client;
+mod writer_query;
 
 use std::process::ExitCode;
 
--- a/crates/jackdawpierd/src/messages.rs
+++ b/crates/jackdawpierd/src/messages.rs
@@ -15,8 +15,8 @@
 use crate::{capacity::WaveAction, demand::DemandMilli};
 
 /// Room beside a body or an answer for its path, names, content type and trace.
-const HEAD_BYTES: usize = 64 * 1024;
-const _: () = assert!(MAX_CARRIED_BYTES + HEAD_BYTES <= MAX_MESSAGE_BYTES);
+const MAX_HEAD_BYTES: usize = 64 * 1024;
+const _: () = assert!(MAX_CARRIED_BYTES + MAX_HEAD_BYTES <= MAX_MESSAGE_BYTES);
 
 /// A caller's request on its way to the entry that decides.
 #[derive(Debug, Clone, Serialize, Deserialize)]
--- a/crates/jackdawpierd/src/metrics.rs
+++ b/crates/jackdawpierd/src/metrics.rs
@@ -117,7 +117,7 @@
     }
 }
 
-fn end_name(end: AttemptOutcome) -> &'static str {
+fn outcome_label(end: AttemptOutcome) -> &'static str {
     match end {
         AttemptOutcome::Answered => "answered",
         AttemptOutcome::NotConnected => "not_connected",
@@ -139,7 +139,7 @@
     }
 
     pub(crate) fn count_attempt(&self, class: &str, end: AttemptOutcome) {
-        let labels = AttemptLabels { class: class.to_owned(), end: end_name(end) };
+        let labels = AttemptLabels { class: class.to_owned(), end: outcome_label(end) };
         self.attempts.get_or_create(&labels).inc();
     }
 
@@ -154,7 +154,7 @@
     }
 
     /// Only the holder of the capacity role shows pools.
-    fn read_capacity(&self, entry: &Entry) {
+    fn set_capacity_gauges(&self, entry: &Entry) {
         let figures = entry.capacity.figures();
         self.pool_margin.clear();
         self.pool_buffer.clear();
@@ -177,7 +177,7 @@
             self.parked.get_or_create(&labels).set(figures.jobs_parked as i64);
             self.owned.get_or_create(&labels).set(i64::from(figures.owns_cell));
         }
-        self.read_capacity(entry);
+        self.set_capacity_gauges(entry);
         self.ready.set(i64::from(entry.is_ready()));
         {
             let coordination = entry.coordination();
--- a/crates/jackdawpierd/src/operators.rs
+++ b/crates/jackdawpierd/src/operators.rs
@@ -13,7 +13,7 @@
 use tokio::runtime::Handle;
 
 use crate::{
-    callers::{find_job, whole_seconds},
+    callers::{act_on_job, whole_seconds},
     capacity::{self, WaveAction},
     entry::Entry,
     messages::{JobAction, PeerAnswer, PeerRequest},
@@ -25,7 +25,7 @@
 /// Largest change taken: a file whose every byte is escaped, and room for the rest. Larger files get
 /// as far as the loader, which names its own bound.
 const MAX_CHANGE_BYTES: usize = 2 * MAX_FILE_BYTES + 64 * 1024;
-const HOLDER_LIMIT: Duration = Duration::from_secs(2);
+const HOLDER_TIMEOUT: Duration = Duration::from_secs(2);
 const JOBS_PATH: &str = "/v1/jobs/";
 const EXPLAIN_PATH: &str = "/v1/explain/";
 const NO_HOLDER: &str = "no entry holds the capacity role at the moment; try again\n";
@@ -111,10 +111,10 @@
             Err(error) => text(400, format!("{error}\n")),
         },
         (Method::Get, "/v1/days") => {
-            runtime.block_on(from_holder(entry, entry.capacity.days(), &PeerRequest::Days))
+            runtime.block_on(holder_answer(entry, entry.capacity.days(), &PeerRequest::Days))
         }
         (Method::Get, "/v1/pools") => {
-            runtime.block_on(from_holder(entry, entry.capacity.pools(), &PeerRequest::Pools))
+            runtime.block_on(holder_answer(entry, entry.capacity.pools(), &PeerRequest::Pools))
         }
         (Method::Get, "/v1/wave") => runtime.block_on(wave(entry, WaveAction::Status)),
         (Method::Post, "/v1/wave/start") => runtime.block_on(wave(entry, WaveAction::Start)),
@@ -146,7 +146,7 @@
     let own = entry.capacity.wave(entry, action);
     let shown = match own {
         Some(shown) => Some(shown),
-        None => ask_holder(entry, &PeerRequest::Wave(action)).await,
+        None => call_holder(entry, &PeerRequest::Wave(action)).await,
     };
     let Some(body) = shown else { return text(503, NO_HOLDER) };
     let is_accepted = serde_json::from_str::<serde_json::Value>(&body)
@@ -169,7 +169,7 @@
     let service =
         entry.coordination().configuration.class(class).map(|class| class.service.clone());
     let Some(service) = service else { return text(404, "no such class\n") };
-    match find_job(entry, &service, &id.into(), action).await {
+    match act_on_job(entry, &service, &id.into(), action).await {
         Ok(Some(body)) => json_text(200, body),
         Ok(None) => text(404, "no such job\n"),
         Err(Outcome::NotRun { reason, retry_after }) => {
@@ -191,14 +191,14 @@
     let service =
         entry.coordination().configuration.class(class).map(|class| class.service.clone());
     let Some(service) = service else { return text(404, "no such class\n") };
-    from_holder(entry, entry.capacity.explain(&service), &PeerRequest::Explain { service }).await
+    holder_answer(entry, entry.capacity.explain(&service), &PeerRequest::Explain { service }).await
 }
 
 /// What the holder of the capacity role shows: `own` where this entry is the holder.
-async fn from_holder(entry: &Arc<Entry>, own: Option<String>, request: &PeerRequest) -> Answer {
+async fn holder_answer(entry: &Arc<Entry>, own: Option<String>, request: &PeerRequest) -> Answer {
     let shown = match own {
         Some(shown) => Some(shown),
-        None => ask_holder(entry, request).await,
+        None => call_holder(entry, request).await,
     };
     match shown {
         Some(body) => json_text(200, body),
@@ -206,13 +206,13 @@
     }
 }
 
-async fn ask_holder(entry: &Arc<Entry>, request: &PeerRequest) -> Option<String> {
+async fn call_holder(entry: &Arc<Entry>, request: &PeerRequest) -> Option<String> {
     let address = {
         let coordination = entry.coordination();
         let owner = coordination.view.owner(capacity::SHARD)?;
         coordination.view.member(&owner.entry)?.peer_address.parse().ok()?
     };
-    match entry.endpoint.call(address, request, HOLDER_LIMIT).await {
+    match entry.endpoint.call(address, request, HOLDER_TIMEOUT).await {
         Ok(PeerAnswer::Capacity(shown)) => shown,
         _ => None,
     }
--- a/crates/jackdawpierd/src/peers.rs
+++ b/crates/jackdawpierd/src/peers.rs
@@ -11,18 +11,18 @@
 };
 
 #[derive(Clone)]
-struct Peers {
+struct PeerHandler {
     entry: Arc<Entry>,
 }
 
 /// Starts to answer peers.
 pub(crate) fn spawn(entry: &Arc<Entry>) {
-    let service = Peers { entry: Arc::clone(entry) };
+    let service = PeerHandler { entry: Arc::clone(entry) };
     let endpoint = entry.endpoint.clone();
     tokio::spawn(async move { endpoint.serve(service).await });
 }
 
-impl PeerService for Peers {
+impl PeerService for PeerHandler {
     type Request = PeerRequest;
     type Answer = PeerAnswer;
 
@@ -37,12 +37,12 @@
                 PeerAnswer::Outcome(outcome)
             }
             PeerRequest::Heartbeat(heartbeat) => {
-                heartbeats::take(entry, &heartbeat, Vec::new());
-                let newer = heartbeats::documents_beside(entry, &heartbeat.in_force);
+                heartbeats::on_heartbeat(entry, &heartbeat, Vec::new());
+                let newer = heartbeats::attached_documents(entry, &heartbeat.in_force);
                 PeerAnswer::Heartbeat { heartbeat: heartbeats::own_heartbeat(entry), newer }
             }
             PeerRequest::Documents { known } => {
-                PeerAnswer::Documents(heartbeats::documents_alone(entry, &known))
+                PeerAnswer::Documents(heartbeats::requested_documents(entry, &known))
             }
             PeerRequest::Wave(action) => PeerAnswer::Capacity(entry.capacity.wave(entry, action)),
             PeerRequest::Days => PeerAnswer::Capacity(entry.capacity.days()),
@@ -51,7 +51,7 @@
                 PeerAnswer::Capacity(entry.capacity.explain(&service))
             }
             PeerRequest::Recall { service, key } => {
-                PeerAnswer::Recalled(entry.service(&service).recall(&key))
+                PeerAnswer::Recalled(entry.service(&service).lost_key_state(&key))
             }
             PeerRequest::Job { service, job, action } => {
                 PeerAnswer::Job(entry.service(&service).job(&job, action))
--- a/crates/jackdawpierd/src/router.rs
+++ b/crates/jackdawpierd/src/router.rs
@@ -16,34 +16,37 @@
 };
 
 /// Tries to find an owner while a shard changes hands.
-const OWNER_TRIES: u32 = 8;
-const OWNER_TRY_INTERVAL: Duration = Duration::from_millis(50);
+const OWNER_ATTEMPTS: u32 = 8;
+const OWNER_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Added to a request's own time for the way back.
 const PEER_MARGIN: Duration = Duration::from_millis(200);
 /// Heartbeats may be missed for this many intervals before a peer counts as unreachable.
 const MISSED_HEARTBEATS: u32 = 3;
 
 /// The contact with `peer`, if it was heard lately.
-fn fresh_contact<'a>(
+fn recent_contact<'a>(
     entry: &Entry,
     coordination: &'a Coordination,
     peer: &str,
 ) -> Option<&'a PeerContact> {
     let limit = entry.settings.timing.heartbeat_interval * MISSED_HEARTBEATS;
-    coordination.contacts.get(peer).filter(|contact| entry.now() < contact.heard_at + limit)
+    coordination
+        .contacts
+        .get(peer)
+        .filter(|contact| entry.now() < contact.last_heartbeat_at + limit)
 }
 
 /// Whether `peer` was heard lately, so that it lives.
-pub(crate) fn is_heard(entry: &Entry, peer: &str) -> bool {
-    fresh_contact(entry, &entry.coordination(), peer).is_some()
+pub(crate) fn has_recent_heartbeat(entry: &Entry, peer: &str) -> bool {
+    recent_contact(entry, &entry.coordination(), peer).is_some()
 }
 
 /// Whether `peer` was heard lately and serves.
 pub(crate) fn is_reachable(entry: &Entry, coordination: &Coordination, peer: &str) -> bool {
-    fresh_contact(entry, coordination, peer).is_some_and(|contact| contact.is_ready)
+    recent_contact(entry, coordination, peer).is_some_and(|contact| contact.is_ready)
 }
 
-fn place(
+fn choose_target(
     entry: &Entry,
     work: &WorkRequest,
     needs_owner: bool,
@@ -52,19 +55,19 @@
     let ranking = coordination.view.ranking(&work.service);
     let view = &coordination.view;
     let reachable = |peer: &str| is_reachable(entry, &coordination, peer);
-    let place = if needs_owner {
+    let target = if needs_owner {
         let owner = view.owner(&work.service).map(|owner| &*owner.entry);
         route_keyed(entry.name(), owner, reachable)
     } else {
         route_unkeyed(&ranking, entry.name(), entry.is_stopping(), reachable)
     };
-    let address = match &place {
+    let address = match &target {
         RouteTarget::Peer(peer) => {
             view.member(peer).and_then(|member| member.peer_address.parse().ok())
         }
         _ => None,
     };
-    (place, address)
+    (target, address)
 }
 
 /// Routes `work` and returns its outcome. `needs_owner` says that a durable record is needed, and
@@ -80,25 +83,25 @@
         reason: RefusalReason::NoOwner,
         retry_after: entry.settings.timing.member_lease,
     };
-    for _ in 0..OWNER_TRIES {
+    for _ in 0..OWNER_ATTEMPTS {
         work.time_left = deadline.saturating_sub(entry.now());
         if work.time_left.is_zero() {
             return last;
         }
-        match place(entry, &work, needs_owner) {
+        match choose_target(entry, &work, needs_owner) {
             (RouteTarget::Local, _) => {
                 let outcome = entry.service(&work.service).submit(work.clone()).await;
-                if !is_no_owner(&outcome) {
+                if !is_owner_unsettled(&outcome) {
                     return outcome;
                 }
             }
             (RouteTarget::Peer(peer), Some(address)) => {
                 match forward(entry, &peer, address, &work).await {
-                    Ok(outcome) if is_no_owner(&outcome) => {}
+                    Ok(outcome) if is_owner_unsettled(&outcome) => {}
                     Ok(outcome) => return outcome,
-                    Err(PeerError::NotSent { .. }) => forget_contact(entry, &peer),
+                    Err(PeerError::NotSent { .. }) => remove_contact(entry, &peer),
                     Err(error @ PeerError::Lost { .. }) => {
-                        forget_contact(entry, &peer);
+                        remove_contact(entry, &peer);
                         last = Outcome::Unknown { detail: error.to_string() };
                         if !is_repeatable {
                             return last;
@@ -110,17 +113,17 @@
             _ => {}
         }
         if needs_owner {
-            tokio::time::sleep(OWNER_TRY_INTERVAL).await;
+            tokio::time::sleep(OWNER_RETRY_INTERVAL).await;
         }
     }
     last
 }
 
-fn is_no_owner(outcome: &Outcome) -> bool {
+fn is_owner_unsettled(outcome: &Outcome) -> bool {
     matches!(outcome, Outcome::NotRun { reason: RefusalReason::NoOwner, retry_after } if *retry_after == OWNER_RETRY_AFTER)
 }
 
-fn forget_contact(entry: &Entry, peer: &EntryId) {
+fn remove_contact(entry: &Entry, peer: &EntryId) {
     entry.coordination().contacts.remove(peer);
 }
 
--- a/crates/jackdawpierd/src/service.rs
+++ b/crates/jackdawpierd/src/service.rs
@@ -27,8 +27,8 @@
 use tokio::sync::oneshot;
 
 use crate::{
-    entry::Entry, executor_client::ExecutorClient, messages::WorkRequest, recall::Recall,
-    service_jobs, worker_client::WorkerClient,
+    entry::Entry, executor_client::ExecutorClient, messages::WorkRequest, service_jobs,
+    worker_client::WorkerClient, writer_query::WriterQuery,
 };
 
 /// Time that a refused caller is told to wait when the store does not answer.
@@ -58,9 +58,9 @@
         generation: u64,
         request: jackdawpier_store::Request,
     },
-    Job(service_jobs::JobCall),
+    Job(service_jobs::WorkerCall),
     /// Ask `entry` what became of a key that it may have sent.
-    Recall {
+    QueryWriter {
         entry: EntryId,
         key: RequestKey,
         opened_at: Now,
@@ -68,7 +68,7 @@
     },
 }
 
-pub(crate) struct Running {
+pub(crate) struct ActiveRequest {
     pub(crate) work: Arc<WorkRequest>,
     pub(crate) reply: Option<oneshot::Sender<Outcome>>,
     pub(crate) deadline: Now,
@@ -76,14 +76,14 @@
 }
 
 /// What only the owner of the service's shard has.
-pub(crate) struct Owned {
+pub(crate) struct OwnedShard {
     pub(crate) generation: u64,
     pub(crate) cell: Cell<CellState>,
     pub(crate) dedupe: Dedupe,
     pub(crate) jobs: JobQueue,
-    pub(crate) accepting: HashMap<JobId, Vec<oneshot::Sender<Outcome>>>,
+    pub(crate) accept_waiters: HashMap<JobId, Vec<oneshot::Sender<Outcome>>>,
     pub(crate) waiters: HashMap<Ticket, oneshot::Sender<Outcome>>,
-    pub(crate) uncommitted: HashSet<Ticket>,
+    pub(crate) uncommitted_intents: HashSet<Ticket>,
     pub(crate) opened_at: Now,
     pub(crate) is_releasing: bool,
 }
@@ -91,16 +91,16 @@
 /// The state of a service behind its lock.
 pub(crate) struct ServiceState {
     pub(crate) dispatcher: Dispatcher,
-    pub(crate) requests: HashMap<Ticket, Running>,
+    pub(crate) requests: HashMap<Ticket, ActiveRequest>,
     pub(crate) addresses: HashMap<ExecutorId, String>,
     pub(crate) worker_addresses: HashMap<WorkerId, String>,
     pub(crate) classes: Vec<Class>,
     /// Tasks of a shard that this entry let go without a successor; their leases are renewed
     /// until one is recorded.
-    pub(crate) kept_alive: Vec<(WorkerId, TaskCommand)>,
-    pub(crate) owned: Option<Owned>,
+    pub(crate) orphaned_task_renewals: Vec<(WorkerId, TaskCommand)>,
+    pub(crate) owned: Option<OwnedShard>,
     /// Keys of the shard from the time before this entry lost it.
-    pub(crate) former: LostShardKeys,
+    pub(crate) lost_shard_keys: LostShardKeys,
     pub(crate) next_ticket: Ticket,
     pub(crate) next_generation: u64,
 }
@@ -153,9 +153,9 @@
             addresses: HashMap::new(),
             worker_addresses: HashMap::new(),
             classes: Vec::new(),
-            kept_alive: Vec::new(),
+            orphaned_task_renewals: Vec::new(),
             owned: None,
-            former: LostShardKeys::new(entry.settings.timing.answer_retention),
+            lost_shard_keys: LostShardKeys::new(entry.settings.timing.answer_retention),
             next_ticket: 0,
             next_generation: 0,
         };
@@ -177,7 +177,7 @@
     }
 
     /// Runs `decide` under the lock and carries out what it asks for.
-    pub(crate) fn act<T>(
+    pub(crate) fn with_state<T>(
         self: &Arc<Self>,
         decide: impl FnOnce(&mut ServiceState, Now) -> (T, Vec<Action>),
     ) -> T {
@@ -201,14 +201,19 @@
             Action::Store { generation, request } => {
                 tokio::spawn(async move {
                     let result = entry.call_store(request).await;
-                    service.act(|state, now| ((), state.on_cell_result(now, generation, result)));
+                    service.with_state(|state, now| {
+                        ((), state.on_cell_result(now, generation, result))
+                    });
                 });
             }
-            Action::Recall { entry: asked, key, opened_at, deadline } => {
+            Action::QueryWriter { entry: writer, key, opened_at, deadline } => {
                 tokio::spawn(async move {
-                    let recall = Recall { service: &service, asked: &asked, opened_at, deadline };
-                    let word = recall.ask(&entry, &key).await;
-                    service.act(|state, now| ((), state.on_recalled(now, &key, word)));
+                    let query =
+                        WriterQuery { service: &service, writer: &writer, opened_at, deadline };
+                    let reply_state = query.run(&entry, &key).await;
+                    service.with_state(|state, now| {
+                        ((), state.on_writer_reply(now, &key, reply_state))
+                    });
                 });
             }
             Action::Job(call) => {
@@ -229,18 +234,18 @@
         let span = entry.traces.start("executor", work.trace, &[("executor", executor)]);
         let limit = deadline.saturating_sub(entry.now());
         let attempt = self.client.send(address, work, span.context(), limit);
-        span.end(&format!("{:?}", attempt.end));
-        entry.metrics.count_attempt(&work.class, attempt.end);
+        span.end(&format!("{:?}", attempt.outcome));
+        entry.metrics.count_attempt(&work.class, attempt.outcome);
         if attempt.is_leaving {
             self.lock().dispatcher.mark_leaving(executor);
         }
-        self.act(|state, now| ((), state.on_attempt(now, ticket, attempt)));
+        self.with_state(|state, now| ((), state.on_attempt(now, ticket, attempt)));
     }
 
     /// Decides on a request here and returns its outcome.
     pub(crate) async fn submit(self: &Arc<Self>, work: WorkRequest) -> Outcome {
         let (reply, outcome) = oneshot::channel();
-        let ticket = self.act(|state, now| state.submit(now, work, reply));
+        let ticket = self.with_state(|state, now| state.submit(now, work, reply));
         let _cancel = CancelOnDrop { service: Arc::clone(self), ticket };
         let lost = Outcome::Unknown { detail: "the owner of the request changed".to_owned() };
         outcome.await.unwrap_or(lost)
@@ -257,43 +262,44 @@
             .filter(|class| class.service == self.name)
             .collect();
         let instances = entry.instances();
-        self.act(|state, now| ((), state.refresh(now, classes, &instances, &self.name)));
+        self.with_state(|state, now| ((), state.refresh(now, classes, &instances, &self.name)));
     }
 
     /// Lets time pass.
     pub(crate) fn tick(self: &Arc<Self>) {
-        self.act(|state, now| ((), state.tick(now)));
+        self.with_state(|state, now| ((), state.tick(now)));
     }
 
     /// Opens the cell after this entry has acquired the shard.
     pub(crate) fn acquire(self: &Arc<Self>) {
         let entry = self.entry();
-        self.act(|state, now| ((), state.acquire(now, &entry, &self.name)));
+        self.with_state(|state, now| ((), state.acquire(now, &entry, &self.name)));
     }
 
     /// Drops the cell when the shard was lost.
-    pub(crate) fn lose(self: &Arc<Self>) {
-        self.act(|state, now| {
+    pub(crate) fn drop_owned(self: &Arc<Self>) {
+        self.with_state(|state, now| {
             state.drop_owned(now);
             ((), Vec::new())
         });
     }
 
     /// What this entry remembers of a key that it owned before, as JSON.
-    pub(crate) fn recall(&self, key: &str) -> Option<String> {
-        let state = self.lock().former.get(key)?;
+    pub(crate) fn lost_key_state(&self, key: &str) -> Option<String> {
+        let state = self.lock().lost_shard_keys.get(key)?;
         Some(serde_json::to_string(&state).expect("states are plain data"))
     }
 
     /// Starts to give the cell up; returns whether it is settled.
-    pub(crate) fn release(&self) -> bool {
+    pub(crate) fn begin_release(&self) -> bool {
         let mut state = self.lock();
         let is_settled = state.owned.as_mut().is_none_or(|owned| {
             owned.is_releasing = true;
-            owned.cell.is_settled() && owned.uncommitted.is_empty()
+            owned.cell.is_settled() && owned.uncommitted_intents.is_empty()
         });
-        let is_quiet = state.requests.values().all(|running| running.work.key.is_none());
-        is_settled && is_quiet
+        let has_no_keyed_requests =
+            state.requests.values().all(|running| running.work.key.is_none());
+        is_settled && has_no_keyed_requests
     }
 
     /// Whether the cell was fenced by another owner.
@@ -329,7 +335,7 @@
 }
 
 /// The answer to a caller whose job is accepted.
-pub(crate) fn accepted_answer(id: &str) -> Outcome {
+pub(crate) fn job_accepted(id: &str) -> Outcome {
     let body = serde_json::to_vec(&serde_json::json!({ "job": id })).expect("it is plain data");
     Outcome::Answered(Answer { status: 202, content_type: "application/json".to_owned(), body })
 }
--- a/crates/jackdawpierd/src/service_jobs.rs
+++ b/crates/jackdawpierd/src/service_jobs.rs
@@ -19,40 +19,41 @@
 
 use crate::{
     messages::{JobAction, JobAnswer, WorkRequest},
-    service::{Action, CellState, Service, ServiceState, accepted_answer, not_run},
+    service::{Action, CellState, Service, ServiceState, job_accepted, not_run},
 };
 
 /// Size assumed for a job: callers declare none in the request today.
-const DEFAULT_SIZE: TaskResources =
+const DEFAULT_RESOURCES: TaskResources =
     TaskResources { cores_milli: 1_000, memory_mb: 1_024, accelerators: 0 };
 const MILLI: u64 = 1_000;
 const MB_PER_GB: u64 = 1_024;
 
 /// One call to a worker.
 #[derive(Debug)]
-pub(crate) enum JobCall {
+pub(crate) enum WorkerCall {
     Start { address: String, task: StartTask },
-    Tell { address: String, command: TaskCommand },
-    Ask { worker: WorkerId, address: String },
+    Command { address: String, command: TaskCommand },
+    PollReports { worker: WorkerId, address: String },
 }
 
 /// Makes a call to a worker and reports its end; blocks.
-pub(crate) fn perform(service: &Arc<Service>, call: JobCall) {
+pub(crate) fn perform(service: &Arc<Service>, call: WorkerCall) {
     let client = &service.worker_client;
     match call {
-        JobCall::Start { address, task } => {
-            let end = client.start(&address, &task);
-            service.act(|state, now| ((), state.on_start(now, &task, end)));
+        WorkerCall::Start { address, task } => {
+            let outcome = client.start(&address, &task);
+            service.with_state(|state, now| ((), state.on_start_outcome(now, &task, outcome)));
         }
-        JobCall::Tell { address, command } => {
-            let sent_at = service.act(|_, now| (now, Vec::new()));
-            if let Some(report) = client.tell(&address, &command) {
-                service.act(|state, now| ((), state.on_told(now, sent_at, &report)));
+        WorkerCall::Command { address, command } => {
+            let sent_at = service.with_state(|_, now| (now, Vec::new()));
+            if let Some(report) = client.send_command(&address, &command) {
+                service
+                    .with_state(|state, now| ((), state.on_command_report(now, sent_at, &report)));
             }
         }
-        JobCall::Ask { worker, address } => {
+        WorkerCall::PollReports { worker, address } => {
             if let Some(reports) = client.reports(&address) {
-                service.act(|state, now| ((), state.on_reports(now, &worker, &reports)));
+                service.with_state(|state, now| ((), state.on_reports(now, &worker, &reports)));
             }
         }
     }
@@ -67,44 +68,44 @@
 /// an encoded customer has the separator, so two customers can't share a job.
 fn job_id(work: &WorkRequest) -> JobId {
     let name = work.key.as_deref().unwrap_or(&work.request_id);
-    let (customer, name) = (path_safe(&work.customer, ""), path_safe(name, "-."));
+    let (customer, name) = (escape_for_path(&work.customer, ""), escape_for_path(name, "-."));
     format!("{}~{customer}~{name}", work.class).into()
 }
 
 /// Letters, digits and `kept` characters as they are, every other byte as `_` and two digits.
-fn path_safe(text: &str, kept: &str) -> String {
+fn escape_for_path(text: &str, allowed_punctuation: &str) -> String {
     text.bytes()
         .map(|byte| match char::from(byte) {
-            c if c.is_ascii_alphanumeric() || kept.contains(c) => c.to_string(),
+            c if c.is_ascii_alphanumeric() || allowed_punctuation.contains(c) => c.to_string(),
             _ => format!("_{byte:02x}"),
         })
         .collect()
 }
 
-fn job_subject(id: &str) -> JobId {
+fn job_cell_key(id: &str) -> JobId {
     format!("j/{id}").into()
 }
 
 impl Service {
     /// Renews task leases and asks busy workers how their tasks are.
-    pub(crate) fn tend_jobs(self: &Arc<Self>) {
+    pub(crate) fn renew_and_poll_tasks(self: &Arc<Self>) {
         let Some(entry) = self.entry.upgrade() else { return };
         let has_successor = entry
             .coordination()
             .view
             .owner(&self.name)
             .is_some_and(|owner| owner.entry != *entry.name());
-        self.act(|state, now| {
+        self.with_state(|state, now| {
             if has_successor {
-                state.kept_alive.clear();
+                state.orphaned_task_renewals.clear();
             }
-            ((), state.tend_jobs(now))
+            ((), state.renew_and_poll_tasks(now))
         });
     }
 
     /// Shows a job or acts on it, where this entry owns the shard and has loaded it.
     pub(crate) fn job(self: &Arc<Self>, id: &JobId, action: JobAction) -> JobAnswer {
-        let answer = self.act(|state, now| {
+        let answer = self.with_state(|state, now| {
             let is_reading = action == JobAction::Show;
             let owned = state.owned.as_mut().filter(|owned| owned.cell.is_open());
             let Some(owned) = owned.filter(|owned| is_reading || !owned.is_releasing) else {
@@ -119,17 +120,17 @@
             let answer = owned.jobs.job(id).map_or(JobAnswer::NoSuchJob, |job| {
                 JobAnswer::Shown(serde_json::to_string(job).expect("jobs are plain data"))
             });
-            (answer, state.follow_jobs(now, commands))
+            (answer, state.apply_job_commands(now, commands))
         });
         match answer {
             // A successor may have accepted the job while this process stood still.
-            JobAnswer::NoSuchJob if !self.is_owner_still() => JobAnswer::NotOwner,
+            JobAnswer::NoSuchJob if !self.still_owns_shard() => JobAnswer::NotOwner,
             answer => answer,
         }
     }
 
     /// Whether the shard has been owned here without a break up to now.
-    fn is_owner_still(&self) -> bool {
+    fn still_owns_shard(&self) -> bool {
         let Some(entry) = self.entry.upgrade() else { return false };
         let coordination = entry.coordination();
         let lease = coordination.membership.lease(entry.now());
@@ -163,26 +164,26 @@
             class: work.class.clone(),
             customer: work.customer.clone(),
             is_idempotent,
-            declared: DEFAULT_SIZE,
+            declared: DEFAULT_RESOURCES,
             payload: String::from_utf8_lossy(&work.body).into_owned(),
             attempts: 0,
             state: JobState::Queued,
         };
         let state = CellState::Job(job.clone());
-        if !cell::fits_in_segment(&job_subject(&id), &state) {
+        if !cell::fits_in_segment(&job_cell_key(&id), &state) {
             let _ = reply.send(not_run(RefusalReason::TooLarge, Duration::ZERO));
             return Vec::new();
         }
         let owned = self.owned.as_mut().expect("only an owner gets here");
-        owned.accepting.entry(id).or_default().push(reply);
+        owned.accept_waiters.entry(id).or_default().push(reply);
         let commands = owned.jobs.submit(job);
-        let mut actions = self.follow_jobs(now, commands);
+        let mut actions = self.apply_job_commands(now, commands);
         actions.extend(self.tick_cell(now));
         actions
     }
 
     /// Turns the queue's commands into writes, calls and answers.
-    pub(crate) fn follow_jobs(&mut self, now: Now, commands: Vec<Command>) -> Vec<Action> {
+    pub(crate) fn apply_job_commands(&mut self, now: Now, commands: Vec<Command>) -> Vec<Action> {
         let mut actions = Vec::new();
         let has_writes = commands.iter().any(|command| matches!(command, Command::Write(_)));
         for command in commands {
@@ -190,25 +191,25 @@
             match command {
                 Command::Write(job) => {
                     let id = job.id.clone();
-                    let number = owned.cell.put(job_subject(&id), &CellState::Job(job));
+                    let number = owned.cell.put(job_cell_key(&id), &CellState::Job(job));
                     if let Some(number) = number {
                         owned.jobs.on_write_queued(number, id);
                     }
                 }
                 Command::Accepted(id) => {
-                    for reply in owned.accepting.remove(&id).into_iter().flatten() {
-                        let _ = reply.send(accepted_answer(&id));
+                    for reply in owned.accept_waiters.remove(&id).into_iter().flatten() {
+                        let _ = reply.send(job_accepted(&id));
                     }
                 }
                 Command::Start { worker, task } => {
                     let address = self.worker_addresses.get(&worker).cloned().unwrap_or_default();
-                    actions.push(Action::Job(JobCall::Start { address, task }));
+                    actions.push(Action::Job(WorkerCall::Start { address, task }));
                 }
                 Command::Send { worker, command } => {
                     let address = self.worker_addresses.get(&worker).cloned().unwrap_or_default();
-                    actions.push(Action::Job(JobCall::Tell { address, command }));
+                    actions.push(Action::Job(WorkerCall::Command { address, command }));
                 }
-                Command::Forget(id) => owned.cell.forget(&job_subject(&id)),
+                Command::Forget(id) => owned.cell.forget(&job_cell_key(&id)),
             }
         }
         if has_writes {
@@ -217,48 +218,53 @@
         actions
     }
 
-    fn on_start(&mut self, now: Now, task: &StartTask, end: StartOutcome) -> Vec<Action> {
+    fn on_start_outcome(
+        &mut self,
+        now: Now,
+        task: &StartTask,
+        outcome: StartOutcome,
+    ) -> Vec<Action> {
         let Some(owned) = &mut self.owned else { return Vec::new() };
-        let commands = owned.jobs.on_start_outcome(now, &task.job, task.attempt, end);
-        self.follow_jobs(now, commands)
+        let commands = owned.jobs.on_start_outcome(now, &task.job, task.attempt, outcome);
+        self.apply_job_commands(now, commands)
     }
 
-    fn on_told(&mut self, now: Now, sent_at: Now, report: &TaskReport) -> Vec<Action> {
+    fn on_command_report(&mut self, now: Now, sent_at: Now, report: &TaskReport) -> Vec<Action> {
         let Some(owned) = &mut self.owned else { return Vec::new() };
         owned.jobs.on_renewed(sent_at, &report.job);
         let commands = owned.jobs.on_report(now, report);
-        self.follow_jobs(now, commands)
+        self.apply_job_commands(now, commands)
     }
 
     fn on_reports(&mut self, now: Now, worker: &WorkerId, reports: &[TaskReport]) -> Vec<Action> {
         let Some(owned) = &mut self.owned else { return Vec::new() };
         let commands = owned.jobs.on_reports(now, worker, reports);
-        self.follow_jobs(now, commands)
+        self.apply_job_commands(now, commands)
     }
 
-    fn tend_jobs(&mut self, now: Now) -> Vec<Action> {
-        let Some(owned) = &mut self.owned else { return self.renew_kept_alive() };
-        let asks: Vec<Action> = owned
+    fn renew_and_poll_tasks(&mut self, now: Now) -> Vec<Action> {
+        let Some(owned) = &mut self.owned else { return self.renew_orphaned_tasks() };
+        let polls: Vec<Action> = owned
             .jobs
             .busy_workers()
             .filter_map(|worker| {
                 let address = self.worker_addresses.get(worker)?.clone();
-                Some(Action::Job(JobCall::Ask { worker: worker.clone(), address }))
+                Some(Action::Job(WorkerCall::PollReports { worker: worker.clone(), address }))
             })
             .collect();
         let renewals = owned.jobs.renewals(now);
-        let mut actions = self.follow_jobs(now, renewals);
-        actions.extend(asks);
+        let mut actions = self.apply_job_commands(now, renewals);
+        actions.extend(polls);
         actions
     }
 
-    fn renew_kept_alive(&self) -> Vec<Action> {
+    fn renew_orphaned_tasks(&self) -> Vec<Action> {
         let address = |worker: &WorkerId| self.worker_addresses.get(worker).cloned();
-        self.kept_alive
+        self.orphaned_task_renewals
             .iter()
             .filter_map(|(worker, command)| {
                 let (address, command) = (address(worker)?, command.clone());
-                Some(Action::Job(JobCall::Tell { address, command }))
+                Some(Action::Job(WorkerCall::Command { address, command }))
             })
             .collect()
     }
--- a/crates/jackdawpierd/src/service_state.rs
+++ b/crates/jackdawpierd/src/service_state.rs
@@ -29,8 +29,8 @@
     executor_client::Attempt,
     messages::WorkRequest,
     service::{
-        Action, CellState, OWNER_RETRY_AFTER, Owned, Running, STORE_RETRY_AFTER, ServiceState,
-        not_run,
+        Action, ActiveRequest, CellState, OWNER_RETRY_AFTER, OwnedShard, STORE_RETRY_AFTER,
+        ServiceState, not_run,
     },
 };
 
@@ -42,7 +42,7 @@
 
 /// A key belongs to its class and customer; the length keeps `a/b` with `c` apart from `a` with
 /// `b/c`.
-fn key_subject(work: &WorkRequest) -> RequestKey {
+fn key_cell_key(work: &WorkRequest) -> RequestKey {
     let WorkRequest { class, customer, key, .. } = work;
     let key = key.as_deref().unwrap_or_default();
     format!("k/{class}/{}/{customer}/{key}", customer.len()).into()
@@ -61,13 +61,13 @@
     ) -> (Ticket, Vec<Action>) {
         self.next_ticket += 1;
         let ticket = self.next_ticket;
-        (ticket, self.submit_as(now, ticket, work, reply))
+        (ticket, self.submit_with_ticket(now, ticket, work, reply))
     }
 
     /// Forgets a request without a key that waits. One with a key has its intent on record and
     /// runs for the repeat.
     pub(crate) fn cancel(&mut self, ticket: Ticket) {
-        let is_keyed = |running: &Running| running.work.key.is_some();
+        let is_keyed = |running: &ActiveRequest| running.work.key.is_some();
         if self.requests.get(&ticket).is_none_or(is_keyed) {
             return;
         }
@@ -76,7 +76,7 @@
         }
     }
 
-    fn submit_as(
+    fn submit_with_ticket(
         &mut self,
         now: Now,
         ticket: Ticket,
@@ -88,22 +88,23 @@
             return Vec::new();
         };
         let is_idempotent = class.idempotent || work.method == "GET" || work.method == "HEAD";
-        let (is_job, may_repeat) = (class.kind == Kind::Refresh, class.idempotent);
+        let (is_job, is_job_idempotent) = (class.kind == Kind::Refresh, class.idempotent);
         let refusal = if is_job || work.key.is_some() { self.durable_refusal() } else { None };
         if let Some(refusal) = refusal {
             let _ = reply.send(refusal);
             return Vec::new();
         }
         if is_job {
-            return self.submit_job(now, &work, may_repeat, reply);
+            return self.submit_job(now, &work, is_job_idempotent, reply);
         }
         let deadline = now + work.time_left;
         if work.key.is_some() {
             return self.submit_keyed(now, ticket, work, is_idempotent, reply);
         }
-        let running = Running { work: Arc::new(work), reply: Some(reply), deadline, is_idempotent };
+        let running =
+            ActiveRequest { work: Arc::new(work), reply: Some(reply), deadline, is_idempotent };
         self.requests.insert(ticket, running);
-        self.arrive(now, ticket)
+        self.dispatch(now, ticket)
     }
 
     /// The reason for which nothing can be made durable now, if there is one.
@@ -128,15 +129,15 @@
         let deadline = now + work.time_left;
         let admitted = self.dispatcher.check_admission(now, &work.class, &work.customer, deadline);
         let owned = self.owned.as_mut().expect("only an owner gets here");
-        let subject = key_subject(&work);
-        match owned.dedupe.begin(&subject, fingerprint(&work), ticket) {
+        let cell_key = key_cell_key(&work);
+        match owned.dedupe.begin(&cell_key, fingerprint(&work), ticket) {
             Decision::Wait => {
                 owned.waiters.insert(ticket, reply);
             }
             Decision::QueryWriter(entry) => {
                 owned.waiters.insert(ticket, reply);
                 let opened_at = owned.opened_at;
-                return vec![Action::Recall { entry, key: subject, opened_at, deadline }];
+                return vec![Action::QueryWriter { entry, key: cell_key, opened_at, deadline }];
             }
             Decision::Replay(outcome) => {
                 let _ = reply.send(outcome);
@@ -148,19 +149,23 @@
                 if let Err(refusal) = admitted {
                     let outcome = not_run(refusal.reason, refusal.retry_after);
                     // Nothing was written for this key yet, so nothing has to be released.
-                    owned.dedupe.record_outcome(now, &subject, &outcome);
+                    owned.dedupe.record_outcome(now, &cell_key, &outcome);
                     let _ = reply.send(outcome);
                     return Vec::new();
                 }
-                let number = owned.cell.put(Arc::clone(&subject), &CellState::Key(state));
+                let number = owned.cell.put(Arc::clone(&cell_key), &CellState::Key(state));
                 owned.dedupe.on_intent_write_queued(
                     number.expect("the cell is open"),
                     ticket,
-                    &subject,
+                    &cell_key,
                 );
-                owned.uncommitted.insert(ticket);
-                let running =
-                    Running { work: Arc::new(work), reply: Some(reply), deadline, is_idempotent };
+                owned.uncommitted_intents.insert(ticket);
+                let running = ActiveRequest {
+                    work: Arc::new(work),
+                    reply: Some(reply),
+                    deadline,
+                    is_idempotent,
+                };
                 self.requests.insert(ticket, running);
                 return self.tick_cell(now);
             }
@@ -168,7 +173,7 @@
         Vec::new()
     }
 
-    fn arrive(&mut self, now: Now, ticket: Ticket) -> Vec<Action> {
+    fn dispatch(&mut self, now: Now, ticket: Ticket) -> Vec<Action> {
         let Some(running) = self.requests.get(&ticket) else { return Vec::new() };
         let info = RequestInfo {
             ticket,
@@ -178,15 +183,15 @@
             is_idempotent: running.is_idempotent,
         };
         let commands = self.dispatcher.submit(now, info);
-        self.follow(now, commands)
+        self.apply_commands(now, commands)
     }
 
     /// Turns the dispatcher's commands into actions and answers.
-    fn follow(&mut self, now: Now, commands: Vec<Command>) -> Vec<Action> {
-        commands.into_iter().flat_map(|command| self.follow_one(now, command)).collect()
+    fn apply_commands(&mut self, now: Now, commands: Vec<Command>) -> Vec<Action> {
+        commands.into_iter().flat_map(|command| self.apply_command(now, command)).collect()
     }
 
-    fn follow_one(&mut self, now: Now, command: Command) -> Vec<Action> {
+    fn apply_command(&mut self, now: Now, command: Command) -> Vec<Action> {
         match command {
             Command::Send { ticket, executor } => {
                 let Some(running) = self.requests.get(&ticket) else { return Vec::new() };
@@ -213,10 +218,10 @@
         if let Some(answer) = attempt.answer {
             actions.extend(self.finish(now, ticket, Outcome::Answered(answer)));
         } else {
-            log::debug!(event = "attempt_failed"; "{:?}: {}", attempt.end, attempt.detail);
+            log::debug!(event = "attempt_failed"; "{:?}: {}", attempt.outcome, attempt.detail);
         }
-        let commands = self.dispatcher.finish_attempt(now, ticket, attempt.end);
-        actions.extend(self.follow(now, commands));
+        let commands = self.dispatcher.finish_attempt(now, ticket, attempt.outcome);
+        actions.extend(self.apply_commands(now, commands));
         actions
     }
 
@@ -224,7 +229,7 @@
         let Some(running) = self.requests.remove(&ticket) else { return Vec::new() };
         let mut actions = Vec::new();
         if running.work.key.is_some() {
-            actions = self.end_key(now, &key_subject(&running.work), &outcome);
+            actions = self.record_key_outcome(now, &key_cell_key(&running.work), &outcome);
         }
         if let Some(reply) = running.reply {
             let _ = reply.send(outcome);
@@ -233,57 +238,57 @@
     }
 
     /// Records the end of a key, or remembers it for the owner where the shard was lost meanwhile.
-    fn end_key(&mut self, now: Now, key: &RequestKey, outcome: &Outcome) -> Vec<Action> {
+    fn record_key_outcome(&mut self, now: Now, key: &RequestKey, outcome: &Outcome) -> Vec<Action> {
         let Some(owned) = &mut self.owned else {
-            self.former.record_outcome(now, key, outcome);
+            self.lost_shard_keys.record_outcome(now, key, outcome);
             return Vec::new();
         };
         let Some((state, waiters)) = owned.dedupe.record_outcome(now, key, outcome) else {
-            self.former.record_outcome(now, key, outcome);
+            self.lost_shard_keys.record_outcome(now, key, outcome);
             return Vec::new();
         };
-        owned.write_end(key, state);
-        owned.answer(&waiters, outcome);
+        owned.write_key_state(key, state);
+        owned.answer_waiters(&waiters, outcome);
         self.tick_cell(now)
     }
 
     /// Takes what an earlier owner said of a key.
-    pub(crate) fn on_recalled(
+    pub(crate) fn on_writer_reply(
         &mut self,
         now: Now,
         key: &RequestKey,
-        word: Option<KeyState>,
+        reply: Option<KeyState>,
     ) -> Vec<Action> {
         let Some(owned) = &mut self.owned else { return Vec::new() };
-        match owned.dedupe.resolve(key, word) {
-            Resolution::WriteEnd(state) => owned.write_end(key, state),
+        match owned.dedupe.resolve(key, reply) {
+            Resolution::WriteEnd(state) => owned.write_key_state(key, state),
             Resolution::Release(waiters) => {
-                owned.write_end(key, KeyState::Released);
+                owned.write_key_state(key, KeyState::Released);
                 // The router takes this as a change of the owner and asks again by itself.
-                owned.answer(&waiters, &not_run(RefusalReason::NoOwner, OWNER_RETRY_AFTER));
+                owned.answer_waiters(&waiters, &not_run(RefusalReason::NoOwner, OWNER_RETRY_AFTER));
             }
             Resolution::Unknown(waiters) => {
                 let detail = "an earlier owner may have sent this request".to_owned();
-                owned.answer(&waiters, &Outcome::Unknown { detail });
+                owned.answer_waiters(&waiters, &Outcome::Unknown { detail });
             }
         }
         self.tick_cell(now)
     }
 
     pub(crate) fn tick(&mut self, now: Now) -> Vec<Action> {
-        self.former.expire(now);
+        self.lost_shard_keys.expire(now);
         let commands = self.dispatcher.tick(now);
-        let mut actions = self.follow(now, commands);
-        self.refuse_unwritten(now);
+        let mut actions = self.apply_commands(now, commands);
+        self.refuse_expired_uncommitted(now);
         actions.extend(self.tick_owned(now));
         actions
     }
 
     /// Refuses keyed requests whose deadline passes before their intent is durable. The intent may
     /// still be written; it is released as soon as that is known.
-    fn refuse_unwritten(&mut self, now: Now) {
+    fn refuse_expired_uncommitted(&mut self, now: Now) {
         let Some(owned) = &self.owned else { return };
-        for ticket in &owned.uncommitted {
+        for ticket in &owned.uncommitted_intents {
             let Some(running) = self.requests.get_mut(ticket) else { continue };
             if running.deadline <= now
                 && let Some(reply) = running.reply.take()
@@ -303,7 +308,7 @@
         } else {
             Vec::new()
         };
-        let mut actions = self.follow_jobs(now, commands);
+        let mut actions = self.apply_job_commands(now, commands);
         actions.extend(self.tick_cell(now));
         actions
     }
@@ -311,7 +316,7 @@
     pub(crate) fn tick_cell(&mut self, now: Now) -> Vec<Action> {
         let Some(owned) = &mut self.owned else { return Vec::new() };
         let outputs = owned.cell.tick(now);
-        self.follow_cell(now, outputs)
+        self.apply_cell_outputs(now, outputs)
     }
 
     pub(crate) fn on_cell_result(
@@ -324,10 +329,10 @@
             return Vec::new();
         };
         let outputs = owned.cell.on_result(now, result);
-        self.follow_cell(now, outputs)
+        self.apply_cell_outputs(now, outputs)
     }
 
-    fn follow_cell(&mut self, now: Now, outputs: Vec<Output<CellState>>) -> Vec<Action> {
+    fn apply_cell_outputs(&mut self, now: Now, outputs: Vec<Output<CellState>>) -> Vec<Action> {
         let mut actions = Vec::new();
         for output in outputs {
             let Some(owned) = &mut self.owned else { break };
@@ -338,21 +343,21 @@
                 Output::Opened { epoch, states } => {
                     log::info!(event = "cell_opened", epoch, states = states.len(); "the cell is open");
                     owned.opened_at = now;
-                    owned.recover(now, states, &mut self.former);
+                    owned.recover(now, states, &mut self.lost_shard_keys);
                 }
                 Output::Committed { up_to } => {
                     let committed = owned.dedupe.on_committed(up_to);
                     let commands = owned.jobs.on_committed(now, up_to);
                     for (outcome, waiters) in &committed.resolved {
-                        owned.answer(waiters, outcome);
+                        owned.answer_waiters(waiters, outcome);
                     }
                     for ticket in committed.sendable {
                         if let Some(owned) = &mut self.owned {
-                            owned.uncommitted.remove(&ticket);
+                            owned.uncommitted_intents.remove(&ticket);
                         }
-                        actions.extend(self.arrive(now, ticket));
+                        actions.extend(self.dispatch(now, ticket));
                     }
-                    actions.extend(self.follow_jobs(now, commands));
+                    actions.extend(self.apply_job_commands(now, commands));
                 }
                 Output::Fenced => {
                     log::warn!(event = "cell_fenced"; "another entry has taken the shard over");
@@ -372,21 +377,21 @@
         let outputs = cell.open(now);
         let mut jobs = JobQueue::new(timing.task_lease, timing.answer_retention);
         jobs.set_classes(&self.classes);
-        let owned = Owned {
+        let owned = OwnedShard {
             generation: self.next_generation,
             cell,
             dedupe: Dedupe::new(entry.name().clone(), timing.answer_retention),
             jobs,
-            accepting: HashMap::new(),
+            accept_waiters: HashMap::new(),
             waiters: HashMap::new(),
-            uncommitted: HashSet::new(),
+            uncommitted_intents: HashSet::new(),
             opened_at: now,
             is_releasing: false,
         };
         self.owned = Some(owned);
-        self.kept_alive.clear();
+        self.orphaned_task_renewals.clear();
         let mut actions = self.refresh_workers(&entry.instances(), name);
-        actions.extend(self.follow_cell(now, outputs));
+        actions.extend(self.apply_cell_outputs(now, outputs));
         actions
     }
 
@@ -394,8 +399,8 @@
     /// another's outcome are told that it is not known here any more.
     pub(crate) fn drop_owned(&mut self, now: Now) {
         let Some(owned) = self.owned.take() else { return };
-        self.kept_alive = owned.jobs.keep_alive_renewals();
-        for ticket in owned.dedupe.release_ownership(now, &mut self.former) {
+        self.orphaned_task_renewals = owned.jobs.keep_alive_renewals();
+        for ticket in owned.dedupe.release_ownership(now, &mut self.lost_shard_keys) {
             let reply = self.requests.remove(&ticket).and_then(|mut running| running.reply.take());
             if let Some(reply) = reply {
                 let _ = reply.send(not_run(RefusalReason::NoOwner, OWNER_RETRY_AFTER));
@@ -434,38 +439,38 @@
             };
             commands.extend(self.dispatcher.upsert_executor(now, info));
         }
-        let mut actions = self.follow(now, commands);
+        let mut actions = self.apply_commands(now, commands);
         actions.extend(self.refresh_workers(instances, name));
         actions
     }
 }
 
-impl Owned {
+impl OwnedShard {
     fn recover(
         &mut self,
         now: Now,
         states: Vec<(RequestKey, CellState)>,
-        former: &mut LostShardKeys,
+        lost_shard_keys: &mut LostShardKeys,
     ) {
         let mut keys = Vec::new();
-        for (subject, state) in states {
+        for (cell_key, state) in states {
             match state {
-                CellState::Key(state) => keys.push((subject, state)),
+                CellState::Key(state) => keys.push((cell_key, state)),
                 CellState::Job(job) => self.jobs.recover(now, job),
             }
         }
-        for (key, state) in self.dedupe.recover(now, keys, former) {
-            self.write_end(&key, state);
+        for (key, state) in self.dedupe.recover(now, keys, lost_shard_keys) {
+            self.write_key_state(&key, state);
         }
     }
 
-    fn write_end(&mut self, key: &RequestKey, state: KeyState) {
+    fn write_key_state(&mut self, key: &RequestKey, state: KeyState) {
         if let Some(number) = self.cell.put(Arc::clone(key), &CellState::Key(state)) {
             self.dedupe.on_end_write_queued(number, key);
         }
     }
 
-    fn answer(&mut self, waiters: &[Ticket], outcome: &Outcome) {
+    fn answer_waiters(&mut self, waiters: &[Ticket], outcome: &Outcome) {
         for waiter in waiters.iter().filter_map(|ticket| self.waiters.remove(ticket)) {
             let _ = waiter.send(outcome.clone());
         }
--- a/crates/jackdawpierd/src/stop.rs
+++ b/crates/jackdawpierd/src/stop.rs
@@ -12,7 +12,7 @@
 
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time for shards to be settled and handed over.
-const HAND_OVER_LIMIT: Duration = Duration::from_secs(3);
+const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Waits for a signal, then stops in order.
 pub(crate) async fn wait_and_stop(
@@ -29,13 +29,13 @@
         coordination.ownership.stop();
     }
     tokio::time::sleep(entry.settings.timing.stop_notice).await;
-    wait_until(HAND_OVER_LIMIT, || entry.coordination().ownership.is_empty()).await;
+    wait_until(HAND_OVER_TIMEOUT, || entry.coordination().ownership.is_empty()).await;
     let _ = stop_callers.send(true);
     let drain_limit = entry.settings.timing.drain_limit;
     if tokio::time::timeout(drain_limit, server).await.is_err() {
         log::error!(event = "stop_cut_off"; "requests were still in flight at the drain limit");
     }
-    wait_until(drain_limit, || is_quiet(entry)).await;
+    wait_until(drain_limit, || is_idle(entry)).await;
     let request = entry.coordination().membership.revoke();
     if let Some(request) = request {
         let _ = entry.call_store(request).await;
@@ -46,7 +46,7 @@
 }
 
 /// Whether neither callers nor peers wait for anything here.
-fn is_quiet(entry: &Entry) -> bool {
+fn is_idle(entry: &Entry) -> bool {
     let in_flight = entry.requests_in_flight.load(Ordering::Relaxed);
     in_flight == 0 && entry.services().iter().all(|service| service.figures().pending == 0)
 }
--- a/crates/jackdawpierd/src/traces.rs
+++ b/crates/jackdawpierd/src/traces.rs
@@ -58,7 +58,7 @@
         parent: Option<TraceContext>,
         attributes: &[(&'static str, &str)],
     ) -> ActiveSpan {
-        let span = parent.and_then(|parent| self.begin(name, Some(parent), attributes));
+        let span = parent.and_then(|parent| self.build_span(name, Some(parent), attributes));
         ActiveSpan { span, fallback: parent }
     }
 
@@ -69,10 +69,10 @@
         parent: Option<TraceContext>,
         attributes: &[(&'static str, &str)],
     ) -> ActiveSpan {
-        ActiveSpan { span: self.begin(name, parent, attributes), fallback: parent }
+        ActiveSpan { span: self.build_span(name, parent, attributes), fallback: parent }
     }
 
-    fn begin(
+    fn build_span(
         &self,
         name: &'static str,
         parent: Option<TraceContext>,
--- a/crates/jackdawpierd/src/view_sync.rs
+++ b/crates/jackdawpierd/src/view_sync.rs
@@ -21,7 +21,7 @@
     let entry = Arc::clone(entry);
     tokio::spawn(async move {
         loop {
-            if let Err(error) = follow(&entry).await {
+            if let Err(error) = sync_until_error(&entry).await {
                 log::warn!(event = "store_watch_failed"; "{error}");
             }
             tokio::time::sleep(RETRY_INTERVAL).await;
@@ -30,9 +30,9 @@
 }
 
 /// Reads everything, then watches until a call fails or the store has forgotten too much.
-async fn follow(entry: &Arc<Entry>) -> Result<(), StoreError> {
-    let (records, mut revision) = read_all(entry).await?;
-    take_all(entry, &records, revision);
+async fn sync_until_error(entry: &Arc<Entry>) -> Result<(), StoreError> {
+    let (records, mut revision) = read_snapshot(entry).await?;
+    apply_snapshot(entry, &records, revision);
     loop {
         let request = Request::Watch {
             prefix: keys::COORDINATION.to_owned(),
@@ -41,7 +41,7 @@
         };
         match entry.call_store(request).await? {
             Response::Changes { changes, store_revision } => {
-                take_changes(entry, &changes);
+                apply_changes(entry, &changes);
                 revision = store_revision;
             }
             _ => return Ok(()),
@@ -49,7 +49,7 @@
     }
 }
 
-async fn read_all(entry: &Arc<Entry>) -> Result<(Vec<Record>, u64), StoreError> {
+async fn read_snapshot(entry: &Arc<Entry>) -> Result<(Vec<Record>, u64), StoreError> {
     let mut all: Vec<Record> = Vec::new();
     let mut first_revision = None;
     let mut page_size = PageSize::new(PAGE_RECORDS);
@@ -80,7 +80,7 @@
     }
 }
 
-fn take_all(entry: &Arc<Entry>, records: &[Record], revision: u64) {
+fn apply_snapshot(entry: &Arc<Entry>, records: &[Record], revision: u64) {
     let repairs = {
         let now = entry.now();
         let mut coordination = entry.coordination();
@@ -109,7 +109,7 @@
     }
 }
 
-fn take_changes(entry: &Arc<Entry>, changes: &[Change]) {
+fn apply_changes(entry: &Arc<Entry>, changes: &[Change]) {
     let is_changed = {
         let now = entry.now();
         let mut coordination = entry.coordination();
--- a/crates/jackdawpierd/src/worker_client.rs
+++ b/crates/jackdawpierd/src/worker_client.rs
@@ -29,26 +29,28 @@
     pub(crate) fn start(&self, address: &str, task: &StartTask) -> StartOutcome {
         let body = serde_json::to_vec(task).expect("tasks are plain data");
         match self.agent.post(format!("http://{address}{TASKS_PATH}")).send(&body) {
-            Ok(response) => read(response).map_or(StartOutcome::Unanswered, StartOutcome::Reported),
+            Ok(response) => {
+                parse_response(response).map_or(StartOutcome::Unanswered, StartOutcome::Reported)
+            }
             Err(error) if is_not_sent(&error) => StartOutcome::NotSent,
             Err(_) => StartOutcome::Unanswered,
         }
     }
 
     /// Sends a command about a task and returns the worker's report, if one came.
-    pub(crate) fn tell(&self, address: &str, command: &TaskCommand) -> Option<TaskReport> {
+    pub(crate) fn send_command(&self, address: &str, command: &TaskCommand) -> Option<TaskReport> {
         let body = serde_json::to_vec(command).expect("commands are plain data");
         let url = format!("http://{address}{TASKS_PATH}/command");
-        self.agent.post(url).send(&body).ok().and_then(read)
+        self.agent.post(url).send(&body).ok().and_then(parse_response)
     }
 
     /// Reads the reports of all tasks of a worker.
     pub(crate) fn reports(&self, address: &str) -> Option<Vec<TaskReport>> {
-        self.agent.get(format!("http://{address}{TASKS_PATH}")).call().ok().and_then(read)
+        self.agent.get(format!("http://{address}{TASKS_PATH}")).call().ok().and_then(parse_response)
     }
 }
 
-fn read<T: serde::de::DeserializeOwned>(
+fn parse_response<T: serde::de::DeserializeOwned>(
     mut response: ureq::http::Response<ureq::Body>,
 ) -> Option<T> {
     let body = response.body_mut().with_config().limit(MAX_REPORT_BYTES).read_to_vec().ok()?;
