--- a/crates/jackdawpier_peer/src/lib.rs
+++ b/crates/jackdawpier_peer/src/lib.rs
@@ -1,8 +1,8 @@
 //! Mutually authenticated quinn transport between entry instances.
 //!
-//! One stream carries one request and one answer, so nothing can cross. A call that fails says
-//! whether any byte of it can have left. Certificates of one private authority are required on
-//! both sides. See `docs/design/peers.md`.
+//! Each stream carries one request and its answer, so answers can't be mixed up. The error of a
+//! failed call says whether any byte of the request may have been sent. Both sides need a
+//! certificate of the same private authority. See `docs/design/peers.md`.
 
 mod tls;
 
@@ -20,22 +20,22 @@
 
 pub use crate::tls::{PEER_NAME, TlsFiles};
 
-/// Largest message in bytes: an answer's body and its head.
+/// Maximum size of a message: the body of an answer and its head.
 pub const MAX_MESSAGE_BYTES: usize = 16 << 20;
-/// Most bytes of an answer that are taken at once while it arrives.
+/// Maximum number of bytes of an answer that are read at once.
 const READ_CHUNK_BYTES: usize = 64 * 1024;
-/// What is said of a peer that was given up.
+/// Detail of the error for an answer that didn't arrive in time.
 const ANSWER_TIMED_OUT: &str = "no answer in time";
-/// Time for a handshake.
+/// Timeout of the handshake, of opening a stream and of closing the endpoint.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// Silence after which a connection is taken for dead.
+/// Time without a packet after which a connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Interval of keep-alive packets on a quiet connection.
+/// Interval of keep-alive packets on an idle connection.
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(400);
-/// Streams that one peer may have open towards us.
+/// Maximum number of streams that one peer may have open to this endpoint.
 const MAX_STREAMS_PER_PEER: u32 = 4096;
 
-/// Why a call gave no answer.
+/// The reason why a call has no answer.
 #[derive(Debug, Display, Error, Clone, PartialEq, Eq)]
 pub enum PeerError {
     /// Nothing was sent.
@@ -56,7 +56,7 @@
     },
 }
 
-/// The endpoint could not be set up.
+/// The reason why the endpoint could not be set up.
 #[derive(Debug, Display, Error)]
 pub enum SetupError {
     /// A key or certificate could not be used.
@@ -77,7 +77,7 @@
     },
 }
 
-/// What answers peers.
+/// Handler of the requests of peers.
 pub trait PeerService: Clone + Send + Sync + 'static {
     /// Requests of peers.
     type Request: DeserializeOwned + Send;
@@ -87,7 +87,7 @@
     fn handle(&self, request: Self::Request) -> impl Future<Output = Self::Answer> + Send;
 }
 
-/// The peer port of this entry, for both directions.
+/// The peer port of this entry: accepts connections of peers and calls them.
 #[derive(Debug, Clone)]
 pub struct PeerEndpoint {
     endpoint: quinn::Endpoint,
@@ -112,7 +112,7 @@
         Ok(Self { endpoint, connections: Arc::default() })
     }
 
-    /// The address that was bound.
+    /// Returns the address that was bound.
     pub fn local_address(&self) -> SocketAddr {
         self.endpoint.local_addr().expect("a bound endpoint has an address")
     }
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Calls a peer and waits for its answer for at most `limit`.
+    /// Calls a peer and waits for its answer for at most `timeout`.
     pub async fn call<Q: Serialize + Sync, A: DeserializeOwned>(
         &self,
         address: SocketAddr,
@@ -144,8 +144,8 @@
         self.call_with(address, request, exchange).await
     }
 
-    /// Calls a peer and reads its answer for as long as it arrives: how long it is, the peer's
-    /// operators decide. The peer is given up after `silence` without a byte.
+    /// Calls a peer and reads its answer for as long as bytes arrive: the time that it takes depends
+    /// on documents whose size operators choose. Fails after `idle_timeout` without a byte.
     pub async fn fetch<Q: Serialize + Sync, A: DeserializeOwned>(
         &self,
         address: SocketAddr,
@@ -223,7 +223,7 @@
         self.connections.lock().expect("no holder of this lock panics")
     }
 
-    /// Closes the endpoint and waits until peers have been told.
+    /// Closes the endpoint and waits until peers have been notified, for a bounded time.
     pub async fn close(&self) {
         self.endpoint.close(VarInt::from_u32(0), b"stopping");
         let _ = tokio::time::timeout(CONNECT_TIMEOUT, self.endpoint.wait_idle()).await;
@@ -240,7 +240,8 @@
     receive.read_to_end(MAX_MESSAGE_BYTES).await.map_err(|error| error.to_string())
 }
 
-/// Reads an answer piece by piece; the request is small, so sending it counts as one piece.
+/// Reads an answer in chunks, each under the idle timeout. The request is small, so sending it
+/// counts as one chunk.
 async fn fetch(
     mut send: SendStream,
     mut receive: RecvStream,
@@ -283,10 +284,10 @@
     let message =
         receive.read_to_end(MAX_MESSAGE_BYTES).await.map_err(|error| error.to_string())?;
     let request = postcard::from_bytes(&message).map_err(|error| error.to_string())?;
-    // A peer that gives the stream up wants no answer any more.
+    // The peer stops the stream when it doesn't need the answer any more.
     let answer = tokio::select! {
         answer = service.handle(request) => answer,
-        _ = send.stopped() => return Err("the peer has given the request up".to_owned()),
+        _ = send.stopped() => return Err("the peer cancelled the request".to_owned()),
     };
     let message = postcard::to_stdvec(&answer).map_err(|error| error.to_string())?;
     send.write_all(&message).await.map_err(|error| error.to_string())?;
--- a/crates/jackdawpier_peer/src/tls.rs
+++ b/crates/jackdawpier_peer/src/tls.rs
@@ -8,15 +8,15 @@
 
 use crate::SetupError;
 
-/// Name that every entry's certificate carries; addresses change, the role does not.
+/// Server name in the certificate of every entry. It names the role, because addresses change.
 pub const PEER_NAME: &str = "entry.jackdawpier.internal";
-/// Protocol name in the handshake; a change of the messages changes the number.
+/// ALPN protocol name; an incompatible change of the messages needs a new number.
 const ALPN_PROTOCOL: &[u8] = b"jackdawpier/1";
 
-/// Files with the keys, all PEM.
+/// Paths of the PEM files with the keys and certificates.
 #[derive(Debug, Clone)]
 pub struct TlsFiles {
-    /// Certificate of the authority.
+    /// Certificate of the certificate authority.
     pub authority_file: String,
     /// Own certificate.
     pub certificate_file: String,
--- a/crates/jackdawpier_peer/tests/slow_link.rs
+++ b/crates/jackdawpier_peer/tests/slow_link.rs
@@ -1,4 +1,4 @@
-//! Answers between entries over a link that takes seconds for them.
+//! Answers between entries over a link on which they take seconds.
 
 use std::{
     net::SocketAddr,
@@ -14,9 +14,9 @@
 
 const LINK_BYTES_PER_S: u32 = 200_000;
 const ANSWER_BYTES: usize = 400_000;
-const SILENCE: Duration = Duration::from_millis(800);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// Answers with as many bytes as it is asked for, and a request for none never.
+/// Answers with the requested number of bytes, and never answers a request for none.
 #[derive(Clone)]
 struct Bytes;
 
@@ -42,11 +42,12 @@
         key_file: file("a.key"),
     };
     let endpoint = PeerEndpoint::bind(any_port(), &files).expect("there is a free port");
-    std::fs::remove_dir_all(&folder).expect("it is ours");
+    std::fs::remove_dir_all(&folder).expect("the folder can be removed");
     endpoint
 }
 
-/// An endpoint that calls itself, and the addresses at which it is reached at once and slowly.
+/// Starts an endpoint that calls itself; returns it with its direct address and the address of a
+/// slow link to it.
 fn spawn(test: &str) -> (PeerEndpoint, SocketAddr, SocketAddr) {
     let endpoint = endpoint(test);
     let serving = endpoint.clone();
@@ -61,20 +62,24 @@
     block_on(async {
         let (endpoint, _, link) = spawn("long-answer");
         let answer: Vec<u8> =
-            endpoint.fetch(link, &ANSWER_BYTES, SILENCE).await.expect("it arrives steadily");
+            endpoint.fetch(link, &ANSWER_BYTES, IDLE_TIMEOUT).await.expect("it arrives steadily");
         assert_eq!(answer.len(), ANSWER_BYTES);
-        let call = endpoint.call::<_, Vec<u8>>(link, &ANSWER_BYTES, SILENCE).await;
-        assert!(matches!(call, Err(PeerError::Lost { .. })), "a call keeps its limit");
+        let call = endpoint.call::<_, Vec<u8>>(link, &ANSWER_BYTES, IDLE_TIMEOUT).await;
+        assert!(matches!(call, Err(PeerError::Lost { .. })), "a call keeps its timeout");
     });
 }
 
 #[test]
-fn silent_peer() {
+fn unresponsive_peer() {
     block_on(async {
-        let (endpoint, address, _) = spawn("silent-peer");
+        let (endpoint, address, _) = spawn("unresponsive-peer");
         let started_at = Instant::now();
-        let answer = endpoint.fetch::<_, Vec<u8>>(address, &0, SILENCE).await;
+        let answer = endpoint.fetch::<_, Vec<u8>>(address, &0, IDLE_TIMEOUT).await;
         assert!(matches!(answer, Err(PeerError::Lost { .. })), "{answer:?}");
-        assert!(started_at.elapsed() < 2 * SILENCE, "given up after {:?}", started_at.elapsed());
+        assert!(
+            started_at.elapsed() < 2 * IDLE_TIMEOUT,
+            "given up after {:?}",
+            started_at.elapsed()
+        );
     });
 }
--- a/crates/jackdawpierd/src/callers.rs
+++ b/crates/jackdawpierd/src/callers.rs
@@ -1,4 +1,4 @@
-//! The callers' port: from HTTP to a request, and from its outcome back to HTTP.
+//! The callers' port: parses HTTP requests, and turns outcomes into HTTP responses.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -23,14 +23,14 @@
     service::OWNER_RETRY_AFTER,
 };
 
-/// Longest customer name or key; longer ones are refused.
+/// Maximum size of a customer name or an idempotency key.
 const MAX_NAME_BYTES: usize = 256;
 const NOT_READY_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Longest wait for the answer on a job, over all tries; connecting to its owner has limits of its own.
+/// Timeout of a call about a job, over all attempts. Connecting to the owner has a timeout of its own.
 const JOB_TIMEOUT: Duration = Duration::from_secs(2);
 const JOB_ATTEMPTS: u32 = 2;
 const JOB_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Part of the path between a class and a job's id.
+/// Path segment between the class and the id of a job.
 const JOBS_SEGMENT: &str = "jobs";
 
 /// The handler of the callers' port.
@@ -39,7 +39,7 @@
     entry: Arc<Entry>,
 }
 
-/// Counts a request as in flight for as long as it lives.
+/// Counts a request as in flight until it is dropped.
 struct InFlight<'a>(&'a Entry);
 
 impl<'a> InFlight<'a> {
@@ -86,7 +86,7 @@
         outcome
     }
 
-    /// Checks what the caller sent and makes it a request; `None` if it is malformed.
+    /// Parses a caller's request; returns `None` if it is malformed.
     fn work(&self, request: &IncomingRequest, class: &Class, path: &str) -> Option<WorkRequest> {
         let customer = match request.headers.get(headers::CUSTOMER) {
             None => headers::NO_CUSTOMER,
@@ -154,9 +154,9 @@
     }
 }
 
-/// Shows a job or acts on it at the entry that owns its shard; `None` if that entry says that there
-/// is no such job. The error is "not run" where no owner could say, and "unknown" where the owner
-/// may have acted and its answer was lost.
+/// Shows a job or acts on it at the entry that owns its shard. Returns `None` if the owner answers
+/// that there is no such job. The error is "not run" if no owner answered, and "unknown" if the
+/// owner may have acted and its answer was lost.
 pub(crate) async fn act_on_job(
     entry: &Arc<Entry>,
     service: &ServiceName,
@@ -217,7 +217,7 @@
     (!class.is_empty() && path.starts_with('/')).then_some((class, path))
 }
 
-/// Seconds for a header that has no smaller unit, rounded up.
+/// Returns the time in whole seconds, rounded up, for headers that have no smaller unit.
 pub(crate) fn whole_seconds(time: Duration) -> u128 {
     time.as_millis().div_ceil(1000)
 }
@@ -232,7 +232,7 @@
     }
 }
 
-/// The reason for people; a bound that the request has to keep is named.
+/// Returns the reason as text; for a size limit it includes the limit.
 fn reason_text(reason: RefusalReason) -> String {
     match reason {
         RefusalReason::TooLarge => {
--- a/crates/jackdawpierd/src/capacity.rs
+++ b/crates/jackdawpierd/src/capacity.rs
@@ -1,8 +1,10 @@
-//! The capacity role: the holder of its shard keeps the pools' targets and carries waves through.
+//! The capacity role: the owner of its shard, called the holder, keeps the pools at their targets
+//! and runs maintenance waves.
 //!
-//! Every order to the platform is recorded in the role's cell before it is sent, under an id that
-//! the platform recognises, so that a new holder goes on without repeating a reboot. An instance
-//! has one order at a time and one pool field at the platform, so it is in exactly one pool.
+//! Every order to the platform is written to the role's cell before it is sent, under an id by
+//! which the platform detects repeats, so that a new holder continues without repeating a reboot.
+//! An instance has at most one order at a time and one pool at the platform, so it is in exactly
+//! one pool.
 
 mod fleet_view;
 mod holder_state;
@@ -43,26 +45,27 @@
 };
 use crate::{demand::DemandMilli, entry::Entry};
 
-/// The shard that the role's holder owns; no service can have this name.
+/// Name of the role's shard; it isn't a valid service name.
 pub(crate) const SHARD: &str = "~capacity";
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time after which an order that shows no effect is sent again, under the same id.
+/// Interval at which an order without a visible effect is sent again, under the same id.
 const RESEND_INTERVAL: Duration = Duration::from_secs(3);
-/// Time after which an order counts as failed.
+/// Time after its first sending after which an order counts as failed.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(1800);
 
 const MILLI: u32 = 1_000;
-/// What the role decides on.
+
+/// Inputs of one planning round.
 struct Inputs {
     classes: Vec<Class>,
     ceilings: Ceilings,
     instances: Arc<Vec<Instance>>,
     demand_milli: DemandMilli,
-    /// Wall clock, for the hour and the weekday only.
+    /// Wall clock time; used only for the time of day and the weekday.
     since_epoch: Duration,
 }
 
-/// The strictest ceilings of all documents.
+/// Returns the lowest ceilings of all documents.
 fn ceilings(configuration: &Configuration) -> Ceilings {
     let all = || configuration.documents().map(|document| &document.declaration.ceilings);
     Ceilings {
@@ -71,7 +74,7 @@
     }
 }
 
-/// What an operator asks of a wave.
+/// Operators' commands on the maintenance wave.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum WaveAction {
     Start,
@@ -81,13 +84,13 @@
     Cancel,
 }
 
-/// Something to do after the lock is released.
+/// I/O to perform after the lock is released.
 enum Action {
     Store { generation: u64, request: Request },
     Send(Order),
 }
 
-/// What is known of the fleet from the list, and what only the holder has.
+/// The fleet as the instance list shows it, and the state that only the holder has.
 struct State {
     fleet: Fleet,
     ids: Vec<Arc<str>>,
@@ -99,7 +102,7 @@
     next_generation: u64,
 }
 
-/// What the metrics show of the role.
+/// Values of the role's gauges.
 #[derive(Debug, Default)]
 pub(crate) struct CapacityGauges {
     /// Name, margin and buffer of each pool, in instances.
@@ -142,22 +145,22 @@
         perform(entry, actions);
     }
 
-    /// Drops what only the holder has.
+    /// Drops the state that only the holder has.
     pub(crate) fn drop_owned(&self) {
         self.lock().holder = None;
     }
 
-    /// Whether the cell can be handed over.
+    /// Returns whether the cell can be handed over.
     pub(crate) fn is_settled(&self) -> bool {
         self.lock().holder.as_ref().is_none_or(|holder| holder.cell.is_settled())
     }
 
-    /// Whether another entry has taken the cell over.
+    /// Returns whether another entry has fenced the cell.
     pub(crate) fn is_fenced(&self) -> bool {
         self.lock().holder.as_ref().is_some_and(|holder| holder.cell.is_fenced())
     }
 
-    /// Follows the list and the configuration, and decides.
+    /// Applies the instance list, the configuration and the demand, and plans moves and wave steps.
     pub(crate) fn tick(&self, entry: &Arc<Entry>) {
         let (classes, ceilings) = {
             let coordination = entry.coordination();
@@ -175,14 +178,15 @@
         perform(entry, actions);
     }
 
-    /// Carries an operator's word on the wave out; `None` where this entry is not the holder.
+    /// Executes an operator's command on the wave and returns the wave's status as JSON; `None` if
+    /// this entry is not the holder.
     pub(crate) fn wave(&self, entry: &Arc<Entry>, action: WaveAction) -> Option<String> {
         let (answer, actions) = self.lock().wave(entry.now(), action)?;
         perform(entry, actions);
         Some(answer.to_string())
     }
 
-    /// Figures for the metrics; empty where this entry is not the holder.
+    /// Returns the values of the gauges; empty if this entry is not the holder.
     pub(crate) fn figures(&self) -> CapacityGauges {
         let state = self.lock();
         let Some(holder) = state.holder.as_ref().filter(|holder| holder.cell.is_open()) else {
@@ -203,7 +207,8 @@
         }
     }
 
-    /// The sums of each day, the present one included; `None` where this entry is not the holder.
+    /// Returns the sums of each day, including today, as JSON; `None` if this entry is not the
+    /// holder.
     pub(crate) fn days(&self) -> Option<String> {
         let state = self.lock();
         let holder = state.holder.as_ref().filter(|holder| holder.cell.is_open())?;
@@ -213,7 +218,7 @@
         Some(serde_json::to_string(&shown).expect("sums are plain data"))
     }
 
-    /// Every pool with its explanation; `None` where this entry is not the holder.
+    /// Returns the explanation of every pool as JSON; `None` if this entry is not the holder.
     pub(crate) fn pools(&self) -> Option<String> {
         let state = self.lock();
         state.holder.as_ref().filter(|holder| holder.cell.is_open())?;
@@ -225,7 +230,7 @@
         Some(serde_json::to_string(&shown).expect("explanations are plain data"))
     }
 
-    /// Explains a service's pool; `None` where this entry is not the holder.
+    /// Returns the explanation of a service's pool as JSON; `None` if this entry is not the holder.
     pub(crate) fn explain(&self, service: &str) -> Option<String> {
         let state = self.lock();
         let holder = state.holder.as_ref().filter(|holder| holder.cell.is_open())?;
@@ -240,7 +245,7 @@
     }
 }
 
-/// Carries actions out; each on a thread that may block.
+/// Performs actions in the background; blocking ones run on the blocking thread pool.
 fn perform(entry: &Arc<Entry>, actions: Vec<Action>) {
     for action in actions {
         let entry = Arc::clone(entry);
@@ -259,7 +264,8 @@
     }
 }
 
-/// Sends an order; whether it arrived shows in the list, and it is sent again if not.
+/// Sends an order to the platform. Its effect shows in the instance list; without one, it is sent
+/// again.
 fn send(entry: &Entry, order: &Order) {
     let url = format!("{}{ORDERS_PATH}", entry.settings.instance_list_url);
     let body = serde_json::to_vec(order).expect("orders are plain data");
@@ -355,7 +361,7 @@
         self.apply_outputs(now, outputs)
     }
 
-    /// Orders whose effect shows in the list are over, and so are those that took too long.
+    /// Finishes the orders whose effect shows in the instance list, and those that timed out.
     fn finish_orders(&mut self, now: Now, instances: &[Instance]) -> Vec<Action> {
         let Some(holder) = &mut self.holder else { return Vec::new() };
         let by_id: HashMap<&str, &Instance> = instances.iter().map(|i| (&*i.id, i)).collect();
@@ -398,7 +404,8 @@
         }
     }
 
-    /// Fills pools from the free instances, and gives up what is not needed before long.
+    /// Moves free instances to pools below their targets, and frees instances that the forecast
+    /// doesn't need.
     fn plan_moves(&mut self, now: Now, forecasts: &HashMap<PoolIx, Forecast>) {
         let Some(holder) = &mut self.holder else { return };
         let wave = holder.wave.as_ref().filter(|wave| wave.state() == WaveState::Running);
@@ -413,7 +420,7 @@
                 )
             })
             .collect();
-        // A pool without a forecast is one whose declaration is gone; it is left as it is.
+        // A pool has no forecast when its declaration was removed; it is left as it is.
         let unknown = ShrinkPolicy { is_blocked: true, ..ShrinkPolicy::default() };
         let shrink_policy = |pool: PoolIx| shrink_policies.get(&pool).copied().unwrap_or(unknown);
         for planned_move in self.planner.replan(now, &mut self.fleet, shrink_policy) {
@@ -429,7 +436,7 @@
         }
     }
 
-    /// Adds to the day's sums, and makes them durable now and then.
+    /// Updates the sums of the day, and writes them when they are due.
     fn update_day_sums(&mut self, now: Now, inputs: &Inputs) {
         let Some(holder) = &mut self.holder else { return };
         let buffer: u64 =
--- a/crates/jackdawpierd/src/capacity/fleet_view.rs
+++ b/crates/jackdawpierd/src/capacity/fleet_view.rs
@@ -1,4 +1,4 @@
-//! The fleet as the list, the declarations and the demand give it.
+//! Updates the fleet model from the instance list, the declarations and the demand.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -22,7 +22,7 @@
     if weekday >= FIRST_WEEKEND_DAY { DayKind::Quiet } else { DayKind::Ordinary }
 }
 
-/// The first of January 1970 was a Thursday.
+/// Weekday of 1 January 1970, a Thursday, counted from Monday.
 const EPOCH_WEEKDAY: u64 = 3;
 
 pub(super) const DAY_S: u64 = 24 * 3600;
@@ -30,8 +30,8 @@
 const FIRST_WEEKEND_DAY: u64 = 5;
 
 impl State {
-    /// One pool a service: the needs of its classes add up, and the strictest wish holds. Returns
-    /// the targets at the declared peaks.
+    /// Adds a pool for each service and returns the targets at the declared peaks. The needs of a
+    /// service's classes add up; of their other limits the strictest applies.
     pub(super) fn update_pools(&mut self, classes: &[Class]) -> BTreeMap<Arc<str>, PoolTarget> {
         let mut targets: BTreeMap<Arc<str>, PoolTarget> = BTreeMap::new();
         for class in classes {
@@ -58,7 +58,7 @@
         targets
     }
 
-    /// Sets each pool's target by its forecast, which is the declared peak until it has learned.
+    /// Sets each pool's target to its forecast, which is the declared peak until demand was learned.
     pub(super) fn update_targets(
         &mut self,
         peaks: &BTreeMap<Arc<str>, PoolTarget>,
@@ -101,7 +101,7 @@
                 _ if is_ordered => Phase::InMaintenance,
                 (InstanceState::Live, Some(_)) => Phase::Serving,
                 (InstanceState::Live, None) if &*instance.pool == FREE_POOL => Phase::Free,
-                // It is leaving, or its pool belongs to no class that is declared.
+                // It is leaving, or no declared class uses its pool.
                 _ => Phase::Draining,
             };
             let known = self.fleet.instance(ix);
--- a/crates/jackdawpierd/src/capacity/holder_state.rs
+++ b/crates/jackdawpierd/src/capacity/holder_state.rs
@@ -1,5 +1,5 @@
-//! What only the holder of the capacity role has: the wave, the orders and the learned demand, each
-//! with its durable record.
+//! The state that only the holder of the capacity role has: the wave, the orders and the learned
+//! demand, each with its durable record.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -27,47 +27,52 @@
     measures::{DayMeasures, Measures},
 };
 
+/// An order that has not finished yet.
 pub(super) struct PendingOrder {
     pub(super) order: Order,
     pub(super) wave: u64,
     pub(super) was_serving: bool,
+    /// Number of the cell's write that makes the order durable.
     pub(super) write_number: u64,
     pub(super) is_durable: bool,
     pub(super) sent_at: Option<Now>,
     pub(super) first_sent_at: Option<Now>,
 }
 
+/// State of the role while this entry holds it.
 pub(super) struct HolderState {
     pub(super) generation: u64,
     pub(super) cell: Cell<CapacityRecord>,
     pub(super) wave_id: u64,
     pub(super) wave: Option<Wave>,
-    /// Whether a wave was read from the records and not filled yet.
+    /// Whether a wave was recovered whose instances are not known yet.
     pub(super) has_recovered_wave: bool,
-    /// Ends of the present wave's orders, from records read before the fleet was known.
+    /// Steps of the current wave (instance, progress, was serving), recovered before the fleet was
+    /// known.
     pub(super) recovered_steps: Vec<(Arc<str>, StepProgress, bool)>,
     pub(super) orders: HashMap<Arc<str>, PendingOrder>,
     pub(super) hold_reason: Option<HoldReason>,
     pub(super) last_order_number: u64,
     pub(super) epoch: u64,
-    /// Instances moved since this entry took the role.
+    /// Number of moves since this entry acquired the role.
     pub(super) moves: u64,
     pub(super) measures: Measures,
-    /// Sums of the days that were written.
+    /// Sums of the days that have been written, by day.
     pub(super) days: BTreeMap<u64, DayMeasures>,
-    /// Learned demand by service, with the largest of the present slot.
+    /// Learned demand by service, with the peak of the current slot.
     pub(super) learned_demands: BTreeMap<Arc<str>, LearnedDemand>,
 }
 
+/// Demand pattern of a service, and the slot that is being observed.
 pub(super) struct LearnedDemand {
     pub(super) demand: DemandPattern,
     pub(super) slot: u64,
-    /// Whether this holder has seen the slot from its start.
+    /// Whether this holder has observed the slot from its start.
     pub(super) is_complete: bool,
     pub(super) peak_milli: u32,
 }
 
-/// Durable state of one subject of the role's cell.
+/// Durable state of one key of the role's cell.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum CapacityRecord {
@@ -136,7 +141,7 @@
         self.wave = wave_state.map(|state| Wave::restore(state, []));
     }
 
-    /// Learns the demand of each slot that has ended, and makes it durable.
+    /// Adds the peak of each slot that has ended to the demand patterns, and writes them.
     pub(super) fn learn_demand(&mut self, peaks: &BTreeMap<Arc<str>, PoolTarget>, inputs: &Inputs) {
         let slot = inputs.since_epoch.as_secs() / SLOT_LENGTH.as_secs();
         for (service, peak) in peaks {
@@ -147,7 +152,7 @@
             });
             learned.demand.set_peak(peak.need);
             if learned.slot != slot {
-                // A slot that this holder has not seen from its start to its end teaches nothing.
+                // A slot that was observed only in part has no valid peak.
                 let is_next = learned.slot + 1 == slot;
                 if is_next && learned.is_complete && learned.peak_milli > 0 {
                     let start = SLOT_LENGTH * u32::try_from(learned.slot).unwrap_or(u32::MAX);
@@ -167,7 +172,7 @@
         }
     }
 
-    /// Fills the wave of an earlier holder once the list has shown the instances.
+    /// Restores the steps of a previous holder's wave once the instance list was read.
     pub(super) fn restore_wave(&mut self, by_id: &HashMap<Arc<str>, InstanceIx>) {
         if !self.has_recovered_wave || by_id.is_empty() {
             return;
@@ -259,8 +264,8 @@
     }
 }
 
-/// A wave's record of an instance must outlive later moves of it, or a new holder would repeat the
-/// maintenance; so the two kinds of orders have subjects of their own.
+/// Returns the cell key of an order. Maintenance and moves have separate keys: a later move must
+/// not overwrite the record of a wave's maintenance, or a new holder would repeat it.
 fn order_key(order: &Order) -> Arc<str> {
     match order.action {
         OrderAction::Maintain => format!("maintain/{}", order.instance).into(),
--- a/crates/jackdawpierd/src/capacity/measures.rs
+++ b/crates/jackdawpierd/src/capacity/measures.rs
@@ -1,27 +1,27 @@
-//! What the users measure, added up by the day: buffer cost, moves and roll-out time.
+//! Daily sums of the users' measures: buffer cost, moves and roll-out time.
 
 use serde::{Deserialize, Serialize};
 
-/// Seconds after which the present day's sums are written again.
+/// Interval at which the sums of the current day are written.
 const WRITE_INTERVAL_S: u64 = 60;
 
-/// Sums of one day, counted in days since the first of January 1970.
+/// Sums of one day; `day` counts the days since 1 January 1970.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub(crate) struct DayMeasures {
     pub(crate) day: u64,
-    /// Instances beyond the need, times the time that they were held.
+    /// Instances beyond the need, in instance seconds.
     pub(crate) buffer_instance_s: f64,
-    /// Time that was observed.
+    /// Observed time.
     pub(crate) observed_s: f64,
-    /// Instances that changed pools.
+    /// Number of moves between pools.
     pub(crate) moves: u64,
-    /// Waves that finished.
+    /// Number of waves that ended.
     pub(crate) waves: u64,
-    /// Time from their starts to their ends.
+    /// Total time of these waves from start to end.
     pub(crate) roll_out_s: f64,
 }
 
-/// The present day's sums, and when they were last written.
+/// Sums of the current day, and when they were last written.
 #[derive(Debug, Default)]
 pub(crate) struct Measures {
     pub(crate) today: DayMeasures,
@@ -31,15 +31,15 @@
 }
 
 impl Measures {
-    /// Goes on with what an earlier holder has added up.
+    /// Continues with the sums that a previous holder wrote.
     pub(crate) fn recover(&mut self, day: DayMeasures) {
         if day.day >= self.today.day {
             self.today = day;
         }
     }
 
-    /// Adds the time since the last call, with this buffer. Returns the sums that are to be made
-    /// durable now, if any.
+    /// Adds the time since the last call, with this buffer. Returns the sums to write now: those of
+    /// the previous day when a day has ended, else those of today when they are due.
     pub(crate) fn accumulate(&mut self, now_s: u64, day: u64, buffer: u64) -> Option<DayMeasures> {
         let finished = (self.today.day != day).then(|| {
             std::mem::replace(&mut self.today, DayMeasures { day, ..DayMeasures::default() })
@@ -58,7 +58,7 @@
         is_due.then(|| self.today.clone())
     }
 
-    /// Notes whether a wave is under way.
+    /// Tracks whether a wave is in progress, and adds up its duration when it ends.
     pub(crate) fn on_wave_status(&mut self, now_s: u64, is_running: bool) {
         match (self.wave_started_s, is_running) {
             (None, true) => self.wave_started_s = Some(now_s),
--- a/crates/jackdawpierd/src/commands.rs
+++ b/crates/jackdawpierd/src/commands.rs
@@ -5,7 +5,7 @@
 
 use crate::{args::Args, exit_status::ExitStatus};
 
-/// Runs what the command line asks for.
+/// Runs the command that `args` selects.
 pub(crate) fn run(args: &Args) -> ExitStatus {
     let settings = match check_settings::load(&args.settings_file) {
         Ok(settings) => settings,
--- a/crates/jackdawpierd/src/commands/check_settings.rs
+++ b/crates/jackdawpierd/src/commands/check_settings.rs
@@ -4,7 +4,7 @@
 
 use crate::exit_status::ExitStatus;
 
-/// Returns the settings, or the exit status after the findings were printed.
+/// Loads the settings. Prints findings and returns the exit status if there are any.
 pub(crate) fn load(file: &str) -> Result<Settings, ExitStatus> {
     let text = std::fs::read_to_string(file).map_err(|error| {
         eprintln!("{file}: {error} (fix: name a readable settings file)");
--- a/crates/jackdawpierd/src/commands/run.rs
+++ b/crates/jackdawpierd/src/commands/run.rs
@@ -15,7 +15,7 @@
 /// Runs the daemon with `settings`.
 pub(crate) fn run(settings: Settings) -> ExitStatus {
     if let Err(error) = logging::init(&settings) {
-        eprintln!("logs can't be set up: {error}");
+        eprintln!("can't set up logging: {error}");
         return ExitStatus::Failure;
     }
     if let Some(clash) = plugin::name_conflicts(&plugin::plugins()).first() {
@@ -25,7 +25,7 @@
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
-        .expect("the runtime needs only threads and a poller");
+        .expect("the runtime can be built");
     match runtime.block_on(serve(settings)) {
         Ok(()) => ExitStatus::Success,
         Err(error) => {
--- a/crates/jackdawpierd/src/control.rs
+++ b/crates/jackdawpierd/src/control.rs
@@ -1,4 +1,4 @@
-//! The control loop: lets time pass for membership, ownership and every service.
+//! The control loop: drives the timers of membership, ownership, capacity and every service.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -16,12 +16,12 @@
 };
 
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Interval of what asks workers and the platform.
+/// Interval of the work that calls workers or the platform.
 const SLOW_TICK_INTERVAL: Duration = Duration::from_millis(500);
-/// Longest wait for keyed requests in flight before a shard is handed over.
+/// Maximum wait for keyed requests in flight before a shard is handed over.
 const RELEASE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Starts the loop.
+/// Starts the control loop.
 pub(crate) fn spawn(entry: &Arc<Entry>) {
     let entry = Arc::clone(entry);
     tokio::spawn(async move {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Deletes the owner record of each shard whose cell is settled.
+    /// Deletes the owner record of each releasing shard whose cell is settled or that timed out.
     fn tick_releases(&mut self, entry: &Arc<Entry>) {
         let releasing = entry.coordination().ownership.releasing_shards();
         self.releasing_since.retain(|shard, _| releasing.contains(shard));
@@ -80,14 +80,14 @@
     }
 }
 
-/// The demand that an entry told before it went is told by its successor now.
+/// Removes the demand reported by entries that are no longer members; their successors report it.
 fn remove_departed_peers(entry: &Entry) {
     let members: BTreeSet<EntryId> =
         entry.coordination().view.members().map(|member| member.entry.clone()).collect();
     entry.demand().retain(|peer| members.contains(peer));
 }
 
-/// Drops what only the owner of a shard has.
+/// Drops the state that only the owner of a shard has.
 fn drop_owned_state(entry: &Arc<Entry>, shard: &str) {
     if shard == capacity::SHARD {
         entry.capacity.drop_owned();
@@ -120,7 +120,8 @@
     });
 }
 
-/// Without the lease that its records stand under, nothing durable is decided here any more.
+/// Drops every owned shard once the lease that backs their owner records is no longer valid: no
+/// durable decision may be taken without it.
 fn drop_shards_without_lease(entry: &Arc<Entry>) {
     let lost = {
         let mut coordination = entry.coordination();
@@ -131,7 +132,7 @@
         coordination.ownership.drop_all()
     };
     for shard in lost {
-        log::warn!(event = "shard_lost", shard = shard.as_str(); "the member lease can't be relied on");
+        log::warn!(event = "shard_lost", shard = shard.as_str(); "dropped the shard because the member lease is no longer valid");
         drop_owned_state(entry, &shard);
     }
 }
@@ -177,7 +178,7 @@
             });
         }
         Output::Acquired { shard } => {
-            log::info!(event = "shard_acquired", shard = shard.as_str(); "this entry owns the shard");
+            log::info!(event = "shard_acquired", shard = shard.as_str(); "acquired the shard");
             if shard == capacity::SHARD {
                 entry.capacity.acquire(entry);
             } else {
@@ -185,7 +186,7 @@
             }
         }
         Output::Release { shard } => {
-            log::info!(event = "shard_release", shard = shard.as_str(); "the shard is given up");
+            log::info!(event = "shard_release", shard = shard.as_str(); "releasing the shard");
         }
     }
 }
--- a/crates/jackdawpierd/src/demand.rs
+++ b/crates/jackdawpierd/src/demand.rs
@@ -1,19 +1,21 @@
-//! What the services ask for, as this entry and its peers see it.
+//! Demand of the services, as measured by this entry and its peers.
 //!
-//! The deciding entry of a service samples how many instances its requests and tasks would fill,
-//! smooths that, and tells it in its heartbeats; the holder of the capacity role adds up.
+//! The entry that decides for a service samples how many instances its requests and tasks would
+//! fill, smooths the samples, and reports the result in its heartbeats. The holder of the capacity
+//! role adds up the reports.
 
 use std::collections::{BTreeMap, HashMap};
 
 use jackdawpier_kernel::ids::{EntryId, ServiceName};
 
-/// Weight of a new sample, one in this many; samples come twice a second.
+/// Number of samples to smooth over: a new sample has a weight of one in this many. Samples are
+/// taken twice a second.
 const SMOOTHING_SAMPLES: f64 = 120.0;
 
-/// Instances that each service would fill, in thousandths.
+/// Number of instances that each service would fill, in thousandths.
 pub(crate) type DemandMilli = BTreeMap<ServiceName, u32>;
 
-/// Smoothed demand here, and what the peers said last.
+/// Smoothed demand of this entry, and the last reports of its peers.
 #[derive(Debug, Default)]
 pub(crate) struct DemandView {
     own: BTreeMap<ServiceName, f64>,
@@ -21,28 +23,28 @@
 }
 
 impl DemandView {
-    /// Takes one sample of a service.
+    /// Adds one sample of a service.
     pub(crate) fn sample(&mut self, service: &ServiceName, demand_milli: u32) {
         let average = self.own.entry(service.clone()).or_default();
         *average += (f64::from(demand_milli) - *average) / SMOOTHING_SAMPLES;
     }
 
-    /// What this entry tells its peers.
+    /// Returns the demand that this entry reports to its peers.
     pub(crate) fn own(&self) -> DemandMilli {
         self.own.iter().map(|(service, milli)| (service.clone(), *milli as u32)).collect()
     }
 
-    /// Takes over what a peer tells.
+    /// Records the demand that a peer reported.
     pub(crate) fn on_peer_report(&mut self, peer: &EntryId, demand: DemandMilli) {
         self.peers.insert(peer.clone(), demand);
     }
 
-    /// Forgets peers that `keep` refuses.
+    /// Removes the reports of peers for which `keep` returns false.
     pub(crate) fn retain(&mut self, keep: impl Fn(&EntryId) -> bool) {
         self.peers.retain(|peer, _| keep(peer));
     }
 
-    /// The demand of every service over all entries.
+    /// Returns the demand of every service, summed over all entries.
     pub(crate) fn total(&self) -> DemandMilli {
         let mut total = self.own();
         for (service, milli) in self.peers.values().flatten() {
--- a/crates/jackdawpierd/src/entry.rs
+++ b/crates/jackdawpierd/src/entry.rs
@@ -1,4 +1,4 @@
-//! What all parts of one daemon share.
+//! State shared by all parts of the daemon.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -29,25 +29,25 @@
     capacity::Capacity, demand::DemandView, metrics::Metrics, service::Service, traces::Traces,
 };
 
-/// When a peer was last heard.
+/// Last heartbeat of a peer.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PeerContact {
     pub(crate) last_heartbeat_at: Now,
     pub(crate) is_ready: bool,
 }
 
-/// The coordination state, behind one lock; no I/O happens under it.
+/// The coordination state, behind one lock. No I/O is done while the lock is held.
 pub(crate) struct Coordination {
     pub(crate) membership: Membership,
     pub(crate) view: View,
     pub(crate) ownership: Ownership,
     pub(crate) configuration: Configuration,
     pub(crate) contacts: HashMap<EntryId, PeerContact>,
-    /// Whether the view was read from the store at least once.
+    /// Whether the view has been read from the store at least once.
     pub(crate) is_view_loaded: bool,
 }
 
-/// One daemon.
+/// The shared state of one daemon.
 pub(crate) struct Entry {
     pub(crate) settings: Settings,
     pub(crate) incarnation: u64,
@@ -57,10 +57,10 @@
     pub(crate) traces: Traces,
     pub(crate) capacity: Capacity,
     pub(crate) is_stopping: AtomicBool,
-    /// Whether the instance list was read at least once.
+    /// Whether the instance list has been read at least once.
     pub(crate) is_instance_list_loaded: AtomicBool,
     pub(crate) requests_in_flight: AtomicUsize,
-    /// Held while documents of a peer are on their way here.
+    /// Locked while documents are fetched from a peer.
     pub(crate) document_fetch: tokio::sync::Mutex<()>,
     started_at: Instant,
     next_request: AtomicU64,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Time since the start of this process, the clock of every decision here.
+    /// Returns the time since the start of this process, the clock of all decisions.
     pub(crate) fn now(&self) -> Now {
         self.started_at.elapsed()
     }
@@ -132,8 +132,8 @@
         self.is_stopping.load(Ordering::Relaxed)
     }
 
-    /// Whether callers may be served: the configuration is in force here, and the executors are
-    /// known, without which every request would be refused.
+    /// Returns whether callers may be served: the configuration is in force here, and the instance
+    /// list was read, without which every request would be refused.
     pub(crate) fn is_ready(&self) -> bool {
         self.is_instance_list_loaded.load(Ordering::Relaxed) && self.has_configuration()
     }
@@ -145,20 +145,20 @@
         configuration.is_ready(now, &membership.status(view))
     }
 
-    /// An id for a request, unique over all entries and their restarts.
+    /// Returns a new request id, unique over all entries and their restarts.
     pub(crate) fn new_request_id(&self) -> String {
         let number = self.next_request.fetch_add(1, Ordering::Relaxed);
         format!("{}-{:x}-{number:x}", self.name(), self.incarnation)
     }
 
-    /// The service called `name`, made when it is first needed.
+    /// Returns the service `name`; creates it on first use.
     pub(crate) fn service(self: &Arc<Self>, name: &ServiceName) -> Arc<Service> {
         let mut services = self.services.lock().expect("no holder of this lock panics");
         if let Some(service) = services.get(name) {
             return Arc::clone(service);
         }
         let service = Arc::new(Service::new(self, name.clone()));
-        // Nobody may find the service before it knows its classes and executors.
+        // The classes and executors must be set before other threads can find the service.
         service.refresh();
         services.insert(name.clone(), Arc::clone(&service));
         service
@@ -181,7 +181,7 @@
         *self.instances.lock().expect("no holder of this lock panics") = Arc::new(instances);
     }
 
-    /// Makes one call to the store on a thread that may block.
+    /// Calls the store on a blocking thread.
     pub(crate) async fn call_store(self: &Arc<Self>, request: Request) -> StoreResult {
         let entry = Arc::clone(self);
         let call = tokio::task::spawn_blocking(move || {
@@ -189,6 +189,6 @@
             entry.metrics.count_store_call(request.name(), result.is_ok());
             result
         });
-        call.await.expect("store calls do not panic")
+        call.await.expect("store calls don't panic")
     }
 }
--- a/crates/jackdawpierd/src/executor_client.rs
+++ b/crates/jackdawpierd/src/executor_client.rs
@@ -1,4 +1,4 @@
-//! Sends requests to executors and says what became of each attempt.
+//! Sends requests to executors and classifies the outcome of each attempt.
 
 use std::{io, time::Duration};
 
@@ -7,23 +7,24 @@
 
 use crate::messages::WorkRequest;
 
-/// Time for an executor to accept a connection.
+/// Timeout of connecting to an executor.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Idle connections kept to one executor; below its slots, so that other entries find room.
+/// Maximum number of idle connections to one executor. Below its number of slots, so that other
+/// entries can connect too.
 const MAX_IDLE_CONNECTIONS: usize = 8;
-/// Idle connections are dropped before an executor could drop them.
+/// Maximum age of an idle connection; shorter than the executors' own idle timeout.
 const MAX_IDLE_AGE: Duration = Duration::from_secs(3);
 const MIN_SERVER_ERROR_STATUS: u16 = 500;
 
-/// The end of one attempt.
+/// Result of one attempt.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     pub(crate) outcome: AttemptOutcome,
-    /// The whole answer, if there is one.
+    /// The complete answer, if there is one.
     pub(crate) answer: Option<Answer>,
-    /// What went wrong, for the caller and the log.
+    /// Status or error of the attempt, for the log.
     pub(crate) detail: String,
-    /// Whether the executor said that it is leaving.
+    /// Whether the executor's response says that it is leaving.
     pub(crate) is_leaving: bool,
 }
 
@@ -33,7 +34,7 @@
     }
 }
 
-/// HTTP client of the executors; `ureq` never reuses a connection on which something failed.
+/// HTTP client for executors. `ureq` never reuses a connection after an error on it.
 #[derive(Debug, Clone)]
 pub(crate) struct ExecutorClient {
     agent: ureq::Agent,
@@ -54,7 +55,7 @@
         Self { agent, max_answer_bytes: max_answer_bytes as u64 }
     }
 
-    /// Sends `work` once. Blocks until the whole answer is there or `limit` has passed.
+    /// Sends `work` once. Blocks until the complete answer was read or `limit` has passed.
     pub(crate) fn send(
         &self,
         address: &str,
@@ -110,7 +111,7 @@
         let outcome = match &body {
             _ if is_not_run => AttemptOutcome::Declined { is_leaving },
             Err(_) => AttemptOutcome::Lost,
-            // Without a length or an end marker, a whole answer looks like a broken one.
+            // Without a length or chunked encoding, a complete body can't be told from a truncated one.
             Ok(body) if !is_delimited && !body.is_empty() => AttemptOutcome::Lost,
             Ok(_) if echoed_id.is_some_and(|id| id != work.request_id) => AttemptOutcome::Lost,
             Ok(_) if status >= MIN_SERVER_ERROR_STATUS => AttemptOutcome::Failed,
@@ -129,7 +130,7 @@
     }
 }
 
-/// Only a failure to connect proves that no byte was sent.
+/// Classifies an error. Only a failure to connect proves that no byte was sent.
 fn classify(error: &ureq::Error) -> AttemptOutcome {
     match error {
         ureq::Error::ConnectionFailed | ureq::Error::Timeout(ureq::Timeout::Connect) => {
--- a/crates/jackdawpierd/src/exit_status.rs
+++ b/crates/jackdawpierd/src/exit_status.rs
@@ -2,12 +2,12 @@
 
 use std::process::ExitCode;
 
-/// How the process ends.
+/// Exit status of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ExitStatus {
     /// A planned stop, or settings without findings.
     Success,
-    /// A port or a key could not be used.
+    /// The daemon could not start, for example because of an unusable port or key.
     Failure,
     /// The settings have findings.
     BadSettings,
--- a/crates/jackdawpierd/src/heartbeats.rs
+++ b/crates/jackdawpierd/src/heartbeats.rs
@@ -1,4 +1,5 @@
-//! Heartbeats between entries: who is reachable, and which documents are in force.
+//! Heartbeats between entries; they show which peers are reachable and which documents they have
+//! in force.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,14 +17,16 @@
 };
 
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Silence after which a peer that sends documents is given up.
+/// Time without a byte after which a transfer of documents is aborted.
 const DOCUMENTS_IDLE_TIMEOUT: Duration = Duration::from_millis(800);
-/// Most bytes of documents beside a heartbeat, which has to be back in time on a slow link too.
+/// Maximum size of the documents attached to a heartbeat's answer, which must arrive within the
+/// timeout on a slow link too.
 const MAX_ATTACHED_BYTES: usize = 16 * 1024;
-/// Most bytes of documents in an answer of their own; above the largest one.
+/// Maximum size of the documents in an answer to a request for documents; above the largest
+/// document.
 const MAX_REQUESTED_BYTES: usize = 4 * 1024 * 1024;
 
-/// Starts the heartbeats to all members, and to the seeds while no member is known.
+/// Starts sending heartbeats to all members, and to the seed peers while no member is known.
 pub(crate) fn spawn(entry: &Arc<Entry>) {
     let entry = Arc::clone(entry);
     tokio::spawn(async move {
@@ -48,7 +51,7 @@
     if members.is_empty() { entry.settings.seed_peers.iter().copied().collect() } else { members }
 }
 
-/// What this entry says of itself.
+/// Returns this entry's own heartbeat.
 pub(crate) fn own_heartbeat(entry: &Entry) -> Heartbeat {
     let is_ready = entry.is_ready();
     let now = entry.now();
@@ -74,7 +77,7 @@
     }
 }
 
-/// Documents that the peer lacks and that are small enough to go beside a heartbeat.
+/// Returns newer documents than the peer's that are small enough to attach to a heartbeat.
 pub(crate) fn attached_documents(
     entry: &Entry,
     peer_revisions: &BTreeMap<String, Revision>,
@@ -82,7 +85,7 @@
     entry.coordination().configuration.newer_than(peer_revisions, MAX_ATTACHED_BYTES)
 }
 
-/// Documents that the peer lacks and has asked for.
+/// Returns newer documents than the peer's, for its explicit request.
 pub(crate) fn requested_documents(
     entry: &Entry,
     peer_revisions: &BTreeMap<String, Revision>,
@@ -90,8 +93,8 @@
     entry.coordination().configuration.newer_than(peer_revisions, MAX_REQUESTED_BYTES)
 }
 
-/// Asks the peer for the documents that are newer there. One peer is asked at a time, so that a
-/// document that fills the link isn't on its way twice.
+/// Fetches newer documents from the peer. Only one transfer runs at a time, so that a large document
+/// doesn't occupy the link twice.
 async fn fetch_documents(entry: &Arc<Entry>, address: SocketAddr) {
     let Ok(_fetch_guard) = entry.document_fetch.try_lock() else { return };
     let known = entry.coordination().configuration.revisions();
@@ -104,7 +107,7 @@
     }
 }
 
-/// Adopts documents that are newer than what is in force; returns whether one was.
+/// Adopts the documents that are newer than those in force; returns whether there was one.
 fn adopt_documents(entry: &Entry, documents: Vec<Document>) -> bool {
     let mut coordination = entry.coordination();
     documents.into_iter().fold(false, |is_changed, document| {
@@ -112,7 +115,7 @@
     })
 }
 
-/// Learns from a heartbeat, in either direction.
+/// Processes a heartbeat that a peer sent or answered with.
 pub(crate) fn on_heartbeat(entry: &Arc<Entry>, heartbeat: &Heartbeat, newer: Vec<Document>) {
     let now = entry.now();
     entry.demand().on_peer_report(&heartbeat.entry, heartbeat.demand_milli.clone());
@@ -134,7 +137,7 @@
     }
 }
 
-/// Makes every service follow the configuration in force.
+/// Creates missing services and applies the configuration in force to all.
 pub(crate) fn refresh_services(entry: &Arc<Entry>) {
     let names = entry.coordination().configuration.services();
     for name in names {
--- a/crates/jackdawpierd/src/instance_reader.rs
+++ b/crates/jackdawpierd/src/instance_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the platform's instance list; what it says lags, so other signs may come first.
+//! Polls the platform's instance list. The list lags, so other evidence may be more recent.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -10,7 +10,8 @@
 
 use crate::entry::Entry;
 
-/// How long the platform may be silent. How long the list is depends on the fleet.
+/// Timeouts of the platform's answers. There is none for the whole transfer, as the length of the
+/// list depends on the fleet.
 const CLIENT_LIMITS: ClientLimits = ClientLimits {
     connect: Duration::from_millis(500),
     silence: Duration::from_secs(1),
@@ -18,7 +19,7 @@
 };
 const MAX_LIST_BYTES: u64 = 64 << 20;
 
-/// Starts the reader on a thread of its own.
+/// Starts polling on a separate thread.
 pub(crate) fn spawn(entry: &Arc<Entry>) {
     let entry = Arc::clone(entry);
     let runtime = tokio::runtime::Handle::current();
@@ -59,6 +60,6 @@
     for service in entry.services() {
         service.refresh();
     }
-    // Only now can a request find executors.
+    // Set after the refresh: from now on every service knows its executors.
     entry.is_instance_list_loaded.store(true, Ordering::Relaxed);
 }
--- a/crates/jackdawpierd/src/lib.rs
+++ b/crates/jackdawpierd/src/lib.rs
@@ -1,7 +1,8 @@
-//! The entry daemon: wiring of the decisions to HTTP, quinn and the store.
+//! The entry daemon: connects the decision logic to HTTP, quinn and the store.
 //!
-//! Every instance is identical and keeps nothing. `docs/ARCHITECTURE.md` follows a request, a
-//! change and a job through these modules.
+//! All daemons are identical and keep no durable state of their own. `docs/ARCHITECTURE.md`
+//! describes the path
+//! of a request, a configuration change and a job through these modules.
 
 mod args;
 mod callers;
@@ -33,15 +34,15 @@
 
 use std::process::ExitCode;
 
-/// Runs the daemon's command line; `main` does nothing else.
+/// Parses the command line and runs the daemon.
 ///
-/// It is a library so that the development crate can read the registered roles and the command
-/// line for the reference pages.
+/// It is in a library so that the development crate can generate the reference pages from the
+/// registered roles and the command line.
 pub fn main() -> ExitCode {
     commands::run(&args::args().run()).into()
 }
 
-/// The command line as Markdown, for the generated reference.
+/// Returns the command line reference as Markdown.
 pub fn command_line_reference() -> String {
     args::args().render_markdown("jackdawpierd")
 }
--- a/crates/jackdawpierd/src/logging.rs
+++ b/crates/jackdawpierd/src/logging.rs
@@ -10,7 +10,7 @@
 
 const APPENDER: &str = "stderr";
 
-/// Sets the logs up.
+/// Initializes logging.
 pub(crate) fn init(settings: &Settings) -> Result<(), String> {
     let level: LevelFilter = settings.log_level.parse().unwrap_or(LevelFilter::Info);
     let appender = ConsoleAppender::builder()
--- a/crates/jackdawpierd/src/messages.rs
+++ b/crates/jackdawpierd/src/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between entries, encoded by `postcard` over one quinn stream each.
+//! Messages between entries, encoded with `postcard`; each request has its own quinn stream.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -14,57 +14,56 @@
 
 use crate::{capacity::WaveAction, demand::DemandMilli};
 
-/// Room beside a body or an answer for its path, names, content type and trace.
+/// Maximum size of a message without the body: path, names, content type and trace.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
 const _: () = assert!(MAX_CARRIED_BYTES + MAX_HEAD_BYTES <= MAX_MESSAGE_BYTES);
 
-/// A caller's request on its way to the entry that decides.
+/// A caller's request, as forwarded to the entry that decides on it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct WorkRequest {
-    /// Identity, unique over all entries; the executor repeats it.
+    /// Unique over all entries; the executor echoes it.
     pub(crate) request_id: String,
     pub(crate) service: ServiceName,
     pub(crate) class: ClassName,
     pub(crate) customer: CustomerName,
     pub(crate) method: String,
-    /// Path at the executor, with the query.
+    /// Path at the executor, including the query.
     pub(crate) path: String,
     pub(crate) content_type: String,
     pub(crate) body: Vec<u8>,
     pub(crate) key: Option<RequestKey>,
-    /// Time left until the answer is worthless.
+    /// Time left until the deadline.
     pub(crate) time_left: Duration,
     pub(crate) trace: Option<TraceContext>,
 }
 
-/// What an entry says of itself in a heartbeat.
+/// State that an entry reports in its heartbeats.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct Heartbeat {
     pub(crate) entry: EntryId,
     pub(crate) incarnation: u64,
     pub(crate) is_ready: bool,
-    /// Time since the store last answered it.
+    /// Time since the last answer of the store to this entry.
     pub(crate) store_age: Option<Duration>,
-    /// Instances that the services decided there would fill, in thousandths.
+    /// Number of instances that the services decided by this entry would fill, in thousandths.
     pub(crate) demand_milli: DemandMilli,
     /// Revision of each document in force.
     pub(crate) in_force: BTreeMap<String, Revision>,
 }
 
-/// What can be done with a job.
+/// Actions on a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum JobAction {
     Show,
     Cancel,
-    /// An operator lets a parked job run again.
+    /// Runs a parked job again, on an operator's decision.
     Retry,
-    /// An operator gives a parked job up.
+    /// Cancels a parked job, on an operator's decision.
     Discard,
 }
 
-/// What the asked entry says of a job. Its first two variants are encoded as an optional text is,
-/// the answer of earlier versions, in which nothing could also mean that another entry owns the
-/// shard.
+/// Answer to a request about a job. The first two variants are encoded like an `Option<String>`,
+/// the answer of earlier versions, whose `None` could also mean that another entry owns the shard.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum JobAnswer {
     /// The entry doesn't own the shard, or hasn't loaded it yet; nothing was done.
@@ -89,15 +88,16 @@
     Explain {
         service: ServiceName,
     },
-    /// Every pool against its target, from the holder of the capacity role.
+    /// Explanations of all pools, from the holder of the capacity role.
     Pools,
+    /// Sums of each day, from the holder of the capacity role.
     Days,
-    /// What the asked entry remembers of a key that it owned before.
+    /// State of a key whose shard the called entry owned before.
     Recall {
         service: ServiceName,
         key: RequestKey,
     },
-    /// The documents that are newer than these revisions.
+    /// Documents that are newer than these revisions.
     Documents {
         known: BTreeMap<String, Revision>,
     },
@@ -107,16 +107,16 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) enum PeerAnswer {
     Outcome(Outcome),
-    /// The answering entry's own heartbeat, with small documents that the asking one lacks.
+    /// Heartbeat of the answering entry, with small documents that are newer than the sender's.
     Heartbeat {
         heartbeat: Heartbeat,
         newer: Vec<Document>,
     },
     Job(JobAnswer),
-    /// State of a key as JSON, if the entry remembers it.
+    /// State of the key as JSON, if the entry still has it.
     Recalled(Option<String>),
-    /// JSON of the capacity role's holder, or nothing where the peer is not the holder.
+    /// JSON answer of the capacity role's holder; `None` if the called entry is not the holder.
     Capacity(Option<String>),
-    /// As many of the documents asked for as one answer holds.
+    /// The requested documents, as many as fit into one answer.
     Documents(Vec<Document>),
 }
--- a/crates/jackdawpierd/src/metrics.rs
+++ b/crates/jackdawpierd/src/metrics.rs
@@ -128,14 +128,14 @@
 }
 
 impl Metrics {
-    pub(crate) fn count_outcome(&self, outcome: &Outcome, took: Duration) {
+    pub(crate) fn count_outcome(&self, outcome: &Outcome, latency: Duration) {
         let reason = match outcome {
             Outcome::NotRun { reason, .. } => reason.to_string(),
             _ => String::new(),
         };
         let labels = OutcomeLabels { outcome: outcome.name(), reason };
         self.outcomes.get_or_create(&labels).inc();
-        self.latency.observe(took.as_secs_f64());
+        self.latency.observe(latency.as_secs_f64());
     }
 
     pub(crate) fn count_attempt(&self, class: &str, end: AttemptOutcome) {
@@ -153,7 +153,7 @@
         self.forwards.get_or_create(&ForwardLabels { result }).inc();
     }
 
-    /// Only the holder of the capacity role shows pools.
+    /// Sets the gauges of the capacity role; the holder alone has pools.
     fn set_capacity_gauges(&self, entry: &Entry) {
         let figures = entry.capacity.figures();
         self.pool_margin.clear();
@@ -168,7 +168,7 @@
         self.moves.set(figures.moves as i64);
     }
 
-    /// The text to scrape, with the gauges read from `entry` now.
+    /// Returns the metrics in the text format, after updating the gauges from `entry`.
     pub(crate) fn scrape(&self, entry: &Entry) -> String {
         for service in entry.services() {
             let figures = service.figures();
--- a/crates/jackdawpierd/src/operators.rs
+++ b/crates/jackdawpierd/src/operators.rs
@@ -1,7 +1,7 @@
 //! The operators' port: health, metrics, status and changes, over `tiny_http`.
 //!
-//! Operators are few, and every answer closes its connection, so the faults that rule the library
-//! out for callers do not bite here; see `docs/design/callers-port.md`.
+//! `tiny_http` has faults that make it unsuitable for the callers' port. They don't matter here,
+//! as there are few operators and every answer closes its connection; see `docs/design/callers-port.md`.
 
 use std::{io::Read, sync::Arc, time::Duration};
 
@@ -20,19 +20,19 @@
     status,
 };
 
-/// Threads that answer operators.
+/// Number of threads that serve operators.
 const THREADS: usize = 4;
-/// Largest change taken: a file whose every byte is escaped, and room for the rest. Larger files get
-/// as far as the loader, which names its own bound.
+/// Maximum size of a change: a file of the maximum size with every byte escaped, and the other
+/// fields. A file that is too large but fits is refused by the loader, which names its limit.
 const MAX_CHANGE_BYTES: usize = 2 * MAX_FILE_BYTES + 64 * 1024;
 const HOLDER_TIMEOUT: Duration = Duration::from_secs(2);
 const JOBS_PATH: &str = "/v1/jobs/";
 const EXPLAIN_PATH: &str = "/v1/explain/";
 const NO_HOLDER: &str = "no entry holds the capacity role at the moment; try again\n";
-/// Wait between two readings back after a lost answer.
+/// Interval of reading a change back after a lost answer.
 const READ_BACK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// An operator's change: `POST /v1/apply`.
+/// Body of `POST /v1/apply`.
 #[derive(Debug, Deserialize)]
 struct ApplyBody {
     base: u64,
@@ -44,7 +44,7 @@
     status: u16,
     content_type: &'static str,
     body: String,
-    /// When to come back, where that is known.
+    /// Value of the `Retry-After` header, if any.
     retry_after: Option<Duration>,
 }
 
@@ -61,7 +61,7 @@
     Answer { status, content_type, body: body.into(), retry_after: None }
 }
 
-/// Starts to answer operators.
+/// Starts serving operators.
 pub(crate) fn spawn(server: Server, entry: &Arc<Entry>) {
     let server = Arc::new(server);
     for _ in 0..THREADS {
@@ -86,7 +86,8 @@
         Err(error) => text(400, format!("{error}\n")),
     };
     let header = |name: &str, value: &str| {
-        Header::from_bytes(name, value).expect("names are constants, values too or numbers")
+        Header::from_bytes(name, value)
+            .expect("names are constants, and values are constants or numbers")
     };
     let mut response = Response::from_string(answer.body)
         .with_status_code(answer.status)
@@ -141,7 +142,7 @@
     }
 }
 
-/// Carries an operator's word on the wave to the holder of the capacity role.
+/// Executes an operator's command on the wave at the holder of the capacity role.
 async fn wave(entry: &Arc<Entry>, action: WaveAction) -> Answer {
     let own = entry.capacity.wave(entry, action);
     let shown = match own {
@@ -154,7 +155,7 @@
     json_text(if is_accepted { 200 } else { 409 }, body)
 }
 
-/// `POST /v1/jobs/CLASS/ID/ACTION`, with `show`, `cancel`, `retry` or `discard`.
+/// Handles `POST /v1/jobs/CLASS/ID/ACTION`, with `show`, `cancel`, `retry` or `discard`.
 async fn job(entry: &Arc<Entry>, path: &str) -> Answer {
     let mut parts = path.splitn(2, '/');
     let class = parts.next().unwrap_or_default();
@@ -186,7 +187,7 @@
     }
 }
 
-/// Explains the pool of a class.
+/// Handles `GET /v1/explain/CLASS`: explains the pool of the class.
 async fn explain(entry: &Arc<Entry>, class: &str) -> Answer {
     let service =
         entry.coordination().configuration.class(class).map(|class| class.service.clone());
@@ -194,7 +195,7 @@
     holder_answer(entry, entry.capacity.explain(&service), &PeerRequest::Explain { service }).await
 }
 
-/// What the holder of the capacity role shows: `own` where this entry is the holder.
+/// Answers with `own` if this entry holds the capacity role, else with the holder's answer.
 async fn holder_answer(entry: &Arc<Entry>, own: Option<String>, request: &PeerRequest) -> Answer {
     let shown = match own {
         Some(shown) => Some(shown),
@@ -226,7 +227,8 @@
     let writer = WriterId {
         entry: entry.name().clone(),
         incarnation: entry.incarnation,
-        sequence: u64::try_from(entry.now().as_nanos()).expect("a process does not live that long"),
+        sequence: u64::try_from(entry.now().as_nanos())
+            .expect("the uptime in nanoseconds fits into 64 bits"),
     };
     let known = entry
         .coordination()
--- a/crates/jackdawpierd/src/peers.rs
+++ b/crates/jackdawpierd/src/peers.rs
@@ -1,4 +1,4 @@
-//! Answers other entries.
+//! Handles the requests of other entries.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
     entry: Arc<Entry>,
 }
 
-/// Starts to answer peers.
+/// Starts serving peers.
 pub(crate) fn spawn(entry: &Arc<Entry>) {
     let service = PeerHandler { entry: Arc::clone(entry) };
     let endpoint = entry.endpoint.clone();
--- a/crates/jackdawpierd/src/router.rs
+++ b/crates/jackdawpierd/src/router.rs
@@ -1,4 +1,4 @@
-//! Brings a request to the entry that decides, here or at a peer.
+//! Routes a request to the entry that decides on it: this one or a peer.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -15,15 +15,15 @@
     service::OWNER_RETRY_AFTER,
 };
 
-/// Tries to find an owner while a shard changes hands.
+/// Maximum number of attempts to reach an owner while a shard changes owners.
 const OWNER_ATTEMPTS: u32 = 8;
 const OWNER_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Added to a request's own time for the way back.
+/// Added to a request's remaining time, for the transfer of the answer.
 const PEER_MARGIN: Duration = Duration::from_millis(200);
-/// Heartbeats may be missed for this many intervals before a peer counts as unreachable.
+/// Number of heartbeat intervals without a heartbeat after which a peer counts as unreachable.
 const MISSED_HEARTBEATS: u32 = 3;
 
-/// The contact with `peer`, if it was heard lately.
+/// Returns the contact with `peer` if its last heartbeat is recent.
 fn recent_contact<'a>(
     entry: &Entry,
     coordination: &'a Coordination,
@@ -36,12 +36,12 @@
         .filter(|contact| entry.now() < contact.last_heartbeat_at + limit)
 }
 
-/// Whether `peer` was heard lately, so that it lives.
+/// Returns whether `peer` sent a heartbeat recently, so that its process runs.
 pub(crate) fn has_recent_heartbeat(entry: &Entry, peer: &str) -> bool {
     recent_contact(entry, &entry.coordination(), peer).is_some()
 }
 
-/// Whether `peer` was heard lately and serves.
+/// Returns whether `peer` sent a heartbeat recently and is ready to serve.
 pub(crate) fn is_reachable(entry: &Entry, coordination: &Coordination, peer: &str) -> bool {
     recent_contact(entry, coordination, peer).is_some_and(|contact| contact.is_ready)
 }
@@ -70,8 +70,8 @@
     (target, address)
 }
 
-/// Routes `work` and returns its outcome. `needs_owner` says that a durable record is needed, and
-/// `is_repeatable` that asking a second time does no harm (idempotent, or recognised by its key).
+/// Routes `work` and returns its outcome. `needs_owner` is set for work that needs a durable record,
+/// `is_repeatable` for work that can be sent twice (idempotent, or deduplicated by its key).
 pub(crate) async fn route(
     entry: &Arc<Entry>,
     mut work: WorkRequest,
@@ -119,6 +119,7 @@
     last
 }
 
+/// Returns whether the entry refused the work because its shard is changing owners.
 fn is_owner_unsettled(outcome: &Outcome) -> bool {
     matches!(outcome, Outcome::NotRun { reason: RefusalReason::NoOwner, retry_after } if *retry_after == OWNER_RETRY_AFTER)
 }
--- a/crates/jackdawpierd/src/service.rs
+++ b/crates/jackdawpierd/src/service.rs
@@ -1,7 +1,7 @@
-//! One service at this entry: the dispatcher, and the durable cell while this entry owns it.
+//! One service at this entry: the dispatcher, and the durable cell while this entry owns its shard.
 //!
-//! Every method takes the lock, lets the pure decisions run, and carries their commands out after
-//! the lock is released.
+//! Every method takes the lock, runs the decision logic, which does no I/O, and performs the
+//! resulting actions after the lock is released.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -31,12 +31,12 @@
     worker_client::WorkerClient, writer_query::WriterQuery,
 };
 
-/// Time that a refused caller is told to wait when the store does not answer.
+/// Retry delay for callers that are refused because the store does not answer.
 pub(crate) const STORE_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Time that a refused caller is told to wait while a shard changes hands.
+/// Retry delay for callers that are refused while a shard changes owners.
 pub(crate) const OWNER_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Durable state of one subject of a service's cell.
+/// Durable state of one key of a service's cell.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum CellState {
@@ -44,7 +44,7 @@
     Job(Job),
 }
 
-/// Something to do after the lock is released.
+/// I/O to perform after the lock is released.
 #[derive(Debug)]
 pub(crate) enum Action {
     Send {
@@ -59,7 +59,7 @@
         request: jackdawpier_store::Request,
     },
     Job(service_jobs::WorkerCall),
-    /// Ask `entry` what became of a key that it may have sent.
+    /// Queries `entry`, which wrote the intent of a key, for the outcome.
     QueryWriter {
         entry: EntryId,
         key: RequestKey,
@@ -68,6 +68,7 @@
     },
 }
 
+/// A request that has no outcome yet.
 pub(crate) struct ActiveRequest {
     pub(crate) work: Arc<WorkRequest>,
     pub(crate) reply: Option<oneshot::Sender<Outcome>>,
@@ -75,7 +76,7 @@
     pub(crate) is_idempotent: bool,
 }
 
-/// What only the owner of the service's shard has.
+/// State that only the owner of the service's shard has.
 pub(crate) struct OwnedShard {
     pub(crate) generation: u64,
     pub(crate) cell: Cell<CellState>,
@@ -95,11 +96,11 @@
     pub(crate) addresses: HashMap<ExecutorId, String>,
     pub(crate) worker_addresses: HashMap<WorkerId, String>,
     pub(crate) classes: Vec<Class>,
-    /// Tasks of a shard that this entry let go without a successor; their leases are renewed
-    /// until one is recorded.
+    /// Lease renewals of the tasks of a shard that this entry lost; they are sent until a successor
+    /// is recorded.
     pub(crate) orphaned_task_renewals: Vec<(WorkerId, TaskCommand)>,
     pub(crate) owned: Option<OwnedShard>,
-    /// Keys of the shard from the time before this entry lost it.
+    /// Keys of the shard from before this entry lost it.
     pub(crate) lost_shard_keys: LostShardKeys,
     pub(crate) next_ticket: Ticket,
     pub(crate) next_generation: u64,
@@ -131,8 +132,8 @@
     Outcome::NotRun { reason, retry_after }
 }
 
-/// Drops a request that still waits when whoever asked for it is gone. After the end it finds
-/// nothing to drop.
+/// Cancels a queued request when the future that waits for its outcome is dropped. Has no effect
+/// after the outcome.
 struct CancelOnDrop {
     service: Arc<Service>,
     ticket: Ticket,
@@ -173,10 +174,10 @@
     }
 
     fn entry(&self) -> Arc<Entry> {
-        self.entry.upgrade().expect("the entry lives as long as the process")
+        self.entry.upgrade().expect("the entry exists until the process ends")
     }
 
-    /// Runs `decide` under the lock and carries out what it asks for.
+    /// Runs `decide` under the lock and performs the actions that it returns.
     pub(crate) fn with_state<T>(
         self: &Arc<Self>,
         decide: impl FnOnce(&mut ServiceState, Now) -> (T, Vec<Action>),
@@ -242,7 +243,7 @@
         self.with_state(|state, now| ((), state.on_attempt(now, ticket, attempt)));
     }
 
-    /// Decides on a request here and returns its outcome.
+    /// Submits a request to this entry's dispatcher and returns its outcome.
     pub(crate) async fn submit(self: &Arc<Self>, work: WorkRequest) -> Outcome {
         let (reply, outcome) = oneshot::channel();
         let ticket = self.with_state(|state, now| state.submit(now, work, reply));
@@ -251,7 +252,7 @@
         outcome.await.unwrap_or(lost)
     }
 
-    /// Takes over the classes in force and the instances of the list.
+    /// Applies the classes in force and the instance list.
     pub(crate) fn refresh(self: &Arc<Self>) {
         let entry = self.entry();
         let classes: Vec<Class> = entry
@@ -265,7 +266,7 @@
         self.with_state(|state, now| ((), state.refresh(now, classes, &instances, &self.name)));
     }
 
-    /// Lets time pass.
+    /// Runs the timers.
     pub(crate) fn tick(self: &Arc<Self>) {
         self.with_state(|state, now| ((), state.tick(now)));
     }
@@ -276,7 +277,7 @@
         self.with_state(|state, now| ((), state.acquire(now, &entry, &self.name)));
     }
 
-    /// Drops the cell when the shard was lost.
+    /// Drops the owner's state after the shard was lost.
     pub(crate) fn drop_owned(self: &Arc<Self>) {
         self.with_state(|state, now| {
             state.drop_owned(now);
@@ -284,13 +285,13 @@
         });
     }
 
-    /// What this entry remembers of a key that it owned before, as JSON.
+    /// Returns the state of a key whose shard this entry owned before, as JSON.
     pub(crate) fn lost_key_state(&self, key: &str) -> Option<String> {
         let state = self.lock().lost_shard_keys.get(key)?;
         Some(serde_json::to_string(&state).expect("states are plain data"))
     }
 
-    /// Starts to give the cell up; returns whether it is settled.
+    /// Stops accepting durable work; returns whether the shard can be handed over.
     pub(crate) fn begin_release(&self) -> bool {
         let mut state = self.lock();
         let is_settled = state.owned.as_mut().is_none_or(|owned| {
@@ -302,12 +303,12 @@
         is_settled && has_no_keyed_requests
     }
 
-    /// Whether the cell was fenced by another owner.
+    /// Returns whether another owner has fenced the cell.
     pub(crate) fn is_fenced(&self) -> bool {
         self.lock().owned.as_ref().is_some_and(|owned| owned.cell.is_fenced())
     }
 
-    /// Instances that the work here would fill, in thousandths.
+    /// Returns the number of instances that the work at this entry would fill, in thousandths.
     pub(crate) fn demand_milli(&self) -> u32 {
         let state = self.lock();
         let tasks =
@@ -334,7 +335,7 @@
     }
 }
 
-/// The answer to a caller whose job is accepted.
+/// Returns the answer to the caller of an accepted job.
 pub(crate) fn job_accepted(id: &str) -> Outcome {
     let body = serde_json::to_vec(&serde_json::json!({ "job": id })).expect("it is plain data");
     Outcome::Answered(Answer { status: 202, content_type: "application/json".to_owned(), body })
--- a/crates/jackdawpierd/src/service_jobs.rs
+++ b/crates/jackdawpierd/src/service_jobs.rs
@@ -1,4 +1,4 @@
-//! The durable jobs of a service: submission, calls to workers, and what operators see.
+//! The durable jobs of a service: submission, calls to workers, and actions of callers and operators.
 
 use std::{collections::HashSet, sync::Arc, time::Duration};
 
@@ -22,7 +22,7 @@
     service::{Action, CellState, Service, ServiceState, job_accepted, not_run},
 };
 
-/// Size assumed for a job: callers declare none in the request today.
+/// Resources assumed for a job, as requests don't declare any.
 const DEFAULT_RESOURCES: TaskResources =
     TaskResources { cores_milli: 1_000, memory_mb: 1_024, accelerators: 0 };
 const MILLI: u64 = 1_000;
@@ -36,7 +36,7 @@
     PollReports { worker: WorkerId, address: String },
 }
 
-/// Makes a call to a worker and reports its end; blocks.
+/// Calls a worker and passes the result to the service; blocks.
 pub(crate) fn perform(service: &Arc<Service>, call: WorkerCall) {
     let client = &service.worker_client;
     match call {
@@ -59,20 +59,21 @@
     }
 }
 
-/// Jobs that need an operator.
+/// Returns the jobs that need an operator.
 pub(crate) fn parked(jobs: &JobQueue) -> impl Iterator<Item = &Job> {
     jobs.jobs().filter(|job| matches!(job.state, JobState::Parked { .. }))
 }
 
-/// The id of a job: its class, its customer and the key that its caller chose. Neither a class nor
-/// an encoded customer has the separator, so two customers can't share a job.
+/// Returns the id of a job: its class, its customer and the caller's idempotency key. Neither a
+/// class nor an escaped customer contains the separator, so two customers can't share a job.
 fn job_id(work: &WorkRequest) -> JobId {
     let name = work.key.as_deref().unwrap_or(&work.request_id);
     let (customer, name) = (escape_for_path(&work.customer, ""), escape_for_path(name, "-."));
     format!("{}~{customer}~{name}", work.class).into()
 }
 
-/// Letters, digits and `kept` characters as they are, every other byte as `_` and two digits.
+/// Keeps ASCII letters, digits and `allowed_punctuation`, and escapes every other byte as `_` and
+/// two hexadecimal digits.
 fn escape_for_path(text: &str, allowed_punctuation: &str) -> String {
     text.bytes()
         .map(|byte| match char::from(byte) {
@@ -87,7 +88,7 @@
 }
 
 impl Service {
-    /// Renews task leases and asks busy workers how their tasks are.
+    /// Renews task leases and polls the reports of busy workers.
     pub(crate) fn renew_and_poll_tasks(self: &Arc<Self>) {
         let Some(entry) = self.entry.upgrade() else { return };
         let has_successor = entry
@@ -103,7 +104,7 @@
         });
     }
 
-    /// Shows a job or acts on it, where this entry owns the shard and has loaded it.
+    /// Shows a job or acts on it, if this entry owns the shard and has loaded it.
     pub(crate) fn job(self: &Arc<Self>, id: &JobId, action: JobAction) -> JobAnswer {
         let answer = self.with_state(|state, now| {
             let is_reading = action == JobAction::Show;
@@ -123,13 +124,13 @@
             (answer, state.apply_job_commands(now, commands))
         });
         match answer {
-            // A successor may have accepted the job while this process stood still.
+            // A successor may have accepted the job while this process was suspended.
             JobAnswer::NoSuchJob if !self.still_owns_shard() => JobAnswer::NotOwner,
             answer => answer,
         }
     }
 
-    /// Whether the shard has been owned here without a break up to now.
+    /// Returns whether this entry has owned the shard without interruption until now.
     fn still_owns_shard(&self) -> bool {
         let Some(entry) = self.entry.upgrade() else { return false };
         let coordination = entry.coordination();
@@ -137,7 +138,7 @@
         coordination.ownership.owns(&self.name) && coordination.ownership.is_backed_by(lease)
     }
 
-    /// Jobs that need an operator, as (id, reason).
+    /// Returns the jobs that need an operator, as (id, reason).
     pub(crate) fn parked_jobs(&self) -> Vec<(JobId, String)> {
         let state = self.lock();
         let Some(owned) = &state.owned else { return Vec::new() };
@@ -150,7 +151,7 @@
 }
 
 impl ServiceState {
-    /// Takes a refresh job in; its caller is answered once it is durable.
+    /// Submits a refresh job; its caller is answered once it is durable.
     pub(crate) fn submit_job(
         &mut self,
         now: Now,
@@ -174,7 +175,7 @@
             let _ = reply.send(not_run(RefusalReason::TooLarge, Duration::ZERO));
             return Vec::new();
         }
-        let owned = self.owned.as_mut().expect("only an owner gets here");
+        let owned = self.owned.as_mut().expect("the caller has checked the ownership");
         owned.accept_waiters.entry(id).or_default().push(reply);
         let commands = owned.jobs.submit(job);
         let mut actions = self.apply_job_commands(now, commands);
@@ -182,7 +183,7 @@
         actions
     }
 
-    /// Turns the queue's commands into writes, calls and answers.
+    /// Executes the job queue's commands: writes, calls and answers.
     pub(crate) fn apply_job_commands(&mut self, now: Now, commands: Vec<Command>) -> Vec<Action> {
         let mut actions = Vec::new();
         let has_writes = commands.iter().any(|command| matches!(command, Command::Write(_)));
@@ -269,7 +270,7 @@
             .collect()
     }
 
-    /// Takes over the workers of the list.
+    /// Applies the workers of the instance list.
     pub(crate) fn refresh_workers(
         &mut self,
         instances: &[Instance],
--- a/crates/jackdawpierd/src/service_state.rs
+++ b/crates/jackdawpierd/src/service_state.rs
@@ -1,4 +1,4 @@
-//! Decisions of one service under its lock: every method returns the actions to carry out later.
+//! Decision logic of one service, run under its lock; methods return the actions to perform after it.
 
 use std::{
     collections::{HashMap, HashSet},
@@ -40,8 +40,8 @@
     xxh3_64_with_seed(&work.body, hash)
 }
 
-/// A key belongs to its class and customer; the length keeps `a/b` with `c` apart from `a` with
-/// `b/c`.
+/// Returns the cell key of an idempotency key, which is scoped to its class and customer. The
+/// customer's length distinguishes customer `a/b` with key `c` from customer `a` with key `b/c`.
 fn key_cell_key(work: &WorkRequest) -> RequestKey {
     let WorkRequest { class, customer, key, .. } = work;
     let key = key.as_deref().unwrap_or_default();
@@ -64,8 +64,8 @@
         (ticket, self.submit_with_ticket(now, ticket, work, reply))
     }
 
-    /// Forgets a request without a key that waits. One with a key has its intent on record and
-    /// runs for the repeat.
+    /// Cancels a queued request without a key. One with a key still runs, as its intent may be
+    /// written: a repeat then gets its outcome.
     pub(crate) fn cancel(&mut self, ticket: Ticket) {
         let is_keyed = |running: &ActiveRequest| running.work.key.is_some();
         if self.requests.get(&ticket).is_none_or(is_keyed) {
@@ -107,7 +107,7 @@
         self.dispatch(now, ticket)
     }
 
-    /// The reason for which nothing can be made durable now, if there is one.
+    /// Returns the refusal for durable work, if nothing can be made durable now.
     fn durable_refusal(&self) -> Option<Outcome> {
         match &self.owned {
             Some(owned) if owned.cell.is_open() && !owned.is_releasing => owned
@@ -128,7 +128,7 @@
     ) -> Vec<Action> {
         let deadline = now + work.time_left;
         let admitted = self.dispatcher.check_admission(now, &work.class, &work.customer, deadline);
-        let owned = self.owned.as_mut().expect("only an owner gets here");
+        let owned = self.owned.as_mut().expect("the caller has checked the ownership");
         let cell_key = key_cell_key(&work);
         match owned.dedupe.begin(&cell_key, fingerprint(&work), ticket) {
             Decision::Wait => {
@@ -148,7 +148,7 @@
             Decision::WriteIntent { state } => {
                 if let Err(refusal) = admitted {
                     let outcome = not_run(refusal.reason, refusal.retry_after);
-                    // Nothing was written for this key yet, so nothing has to be released.
+                    // No intent was written for this key, so there is none to release.
                     owned.dedupe.record_outcome(now, &cell_key, &outcome);
                     let _ = reply.send(outcome);
                     return Vec::new();
@@ -186,7 +186,7 @@
         self.apply_commands(now, commands)
     }
 
-    /// Turns the dispatcher's commands into actions and answers.
+    /// Executes the dispatcher's commands: actions and answers.
     fn apply_commands(&mut self, now: Now, commands: Vec<Command>) -> Vec<Action> {
         commands.into_iter().flat_map(|command| self.apply_command(now, command)).collect()
     }
@@ -237,7 +237,8 @@
         actions
     }
 
-    /// Records the end of a key, or remembers it for the owner where the shard was lost meanwhile.
+    /// Records the outcome of a key; if the shard was lost meanwhile, keeps it for queries of the new
+    /// owner.
     fn record_key_outcome(&mut self, now: Now, key: &RequestKey, outcome: &Outcome) -> Vec<Action> {
         let Some(owned) = &mut self.owned else {
             self.lost_shard_keys.record_outcome(now, key, outcome);
@@ -252,7 +253,7 @@
         self.tick_cell(now)
     }
 
-    /// Takes what an earlier owner said of a key.
+    /// Processes the reply of the previous owner that wrote the intent of a key.
     pub(crate) fn on_writer_reply(
         &mut self,
         now: Now,
@@ -264,7 +265,7 @@
             Resolution::WriteEnd(state) => owned.write_key_state(key, state),
             Resolution::Release(waiters) => {
                 owned.write_key_state(key, KeyState::Released);
-                // The router takes this as a change of the owner and asks again by itself.
+                // The router treats this refusal as a change of owners and retries.
                 owned.answer_waiters(&waiters, &not_run(RefusalReason::NoOwner, OWNER_RETRY_AFTER));
             }
             Resolution::Unknown(waiters) => {
@@ -284,8 +285,8 @@
         actions
     }
 
-    /// Refuses keyed requests whose deadline passes before their intent is durable. The intent may
-    /// still be written; it is released as soon as that is known.
+    /// Refuses keyed requests whose deadline has passed before their intent is durable. The intent
+    /// may still be written; it is released once its write is confirmed.
     fn refuse_expired_uncommitted(&mut self, now: Now) {
         let Some(owned) = &self.owned else { return };
         for ticket in &owned.uncommitted_intents {
@@ -341,7 +342,7 @@
                     actions.push(Action::Store { generation: owned.generation, request });
                 }
                 Output::Opened { epoch, states } => {
-                    log::info!(event = "cell_opened", epoch, states = states.len(); "the cell is open");
+                    log::info!(event = "cell_opened", epoch, states = states.len(); "opened the cell");
                     owned.opened_at = now;
                     owned.recover(now, states, &mut self.lost_shard_keys);
                 }
@@ -395,8 +396,8 @@
         actions
     }
 
-    /// Drops what only the owner has. Requests that were not sent are refused; those that wait for
-    /// another's outcome are told that it is not known here any more.
+    /// Drops the owner's state. Requests that were not sent are refused; requests that wait for the
+    /// outcome of another with the same key get "unknown".
     pub(crate) fn drop_owned(&mut self, now: Now) {
         let Some(owned) = self.owned.take() else { return };
         self.orphaned_task_renewals = owned.jobs.keep_alive_renewals();
@@ -423,7 +424,7 @@
         let executors =
             || instances.iter().filter(|i| i.role == InstanceRole::Executor && i.service == *name);
         let present: HashSet<&str> = executors().map(|instance| &*instance.id).collect();
-        // An empty list is more likely a fault of the list than the loss of every executor.
+        // An empty list is more likely a fault of the platform than the loss of every executor.
         if !present.is_empty() {
             self.dispatcher.retain_executors(|id| present.contains(id));
         }
--- a/crates/jackdawpierd/src/status.rs
+++ b/crates/jackdawpierd/src/status.rs
@@ -1,4 +1,4 @@
-//! What operators see of this entry and, through the store, of the fleet of entries.
+//! Status of this entry for operators and, as the store shows them, of the other members.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -10,7 +10,7 @@
 
 use crate::{entry::Entry, service::ServiceFigures};
 
-/// A document and who lacks it.
+/// A document, and the members that don't have it in force.
 #[derive(Debug, Serialize)]
 pub(crate) struct DocumentStatus {
     pub(crate) deployment: String,
@@ -20,7 +20,7 @@
     pub(crate) lagging_members: Vec<String>,
 }
 
-/// One member.
+/// Status of a member.
 #[derive(Debug, Serialize)]
 pub(crate) struct MemberStatus {
     pub(crate) entry: String,
@@ -30,7 +30,7 @@
     pub(crate) owns: Vec<String>,
 }
 
-/// A class with its target.
+/// A class with its target and its live instances.
 #[derive(Debug, Serialize)]
 pub(crate) struct ClassStatus {
     pub(crate) class: String,
@@ -48,7 +48,7 @@
     pub(crate) reason: String,
 }
 
-/// Everything that `jackdawpier status` shows.
+/// The data of `jackdawpier status`.
 #[derive(Debug, Serialize)]
 pub(crate) struct Status {
     pub(crate) entry: String,
@@ -62,14 +62,15 @@
     pub(crate) roles: Vec<&'static str>,
 }
 
-/// Shown as lagging while this entry's view of the store is older than the revision.
+/// Shown in place of the lagging members while this entry's view of the store is older than the
+/// revision.
 const THIS_ENTRY: &str = "(this entry's view)";
 
 fn names(entries: &[EntryId]) -> Vec<String> {
     entries.iter().map(ToString::to_string).collect()
 }
 
-/// Gathers the status.
+/// Collects the status.
 pub(crate) fn gather(entry: &Arc<Entry>) -> Status {
     use jackdawpier_kernel::instance::{InstanceRole, InstanceState};
     let is_ready = entry.is_ready();
--- a/crates/jackdawpierd/src/stop.rs
+++ b/crates/jackdawpierd/src/stop.rs
@@ -1,4 +1,4 @@
-//! The planned stop: nothing in flight is cut off, and shards are handed over cleanly.
+//! Graceful shutdown: waits for requests in flight, and hands shards over.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -11,17 +11,17 @@
 use crate::entry::Entry;
 
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time for shards to be settled and handed over.
+/// Maximum wait for shards to be settled and handed over.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Waits for a signal, then stops in order.
+/// Waits for a termination signal, then shuts down.
 pub(crate) async fn wait_and_stop(
     entry: &Arc<Entry>,
     stop_callers: &watch::Sender<bool>,
     server: JoinHandle<()>,
 ) {
     wait_for_signal().await;
-    log::info!(event = "stop_started"; "a planned stop has begun");
+    log::info!(event = "stop_started"; "shutting down");
     entry.is_stopping.store(true, Ordering::Relaxed);
     {
         let mut coordination = entry.coordination();
@@ -33,7 +33,7 @@
     let _ = stop_callers.send(true);
     let drain_limit = entry.settings.timing.drain_limit;
     if tokio::time::timeout(drain_limit, server).await.is_err() {
-        log::error!(event = "stop_cut_off"; "requests were still in flight at the drain limit");
+        log::error!(event = "stop_cut_off"; "the drain limit passed while requests were in flight");
     }
     wait_until(drain_limit, || is_idle(entry)).await;
     let request = entry.coordination().membership.revoke();
@@ -42,10 +42,10 @@
     }
     entry.endpoint.close().await;
     entry.traces.flush();
-    log::info!(event = "stop_finished"; "nothing is in flight");
+    log::info!(event = "stop_finished"; "shutdown finished");
 }
 
-/// Whether neither callers nor peers wait for anything here.
+/// Returns whether no request of callers or peers is in flight.
 fn is_idle(entry: &Entry) -> bool {
     let in_flight = entry.requests_in_flight.load(Ordering::Relaxed);
     in_flight == 0 && entry.services().iter().all(|service| service.figures().pending == 0)
--- a/crates/jackdawpierd/src/traces.rs
+++ b/crates/jackdawpierd/src/traces.rs
@@ -1,4 +1,4 @@
-//! Traces with a span for each hop, by OpenTelemetry: to a collector, else to a file.
+//! OpenTelemetry traces with a span for each hop, exported to a collector or a file.
 
 use std::{
     fs::{File, OpenOptions},
@@ -28,14 +28,14 @@
 const EXPORT_TIMEOUT: Duration = Duration::from_secs(2);
 const FLAG_SAMPLED: u8 = 1;
 
-/// The tracer, or nothing where the settings name neither collector nor file.
+/// The tracer; `None` if the settings name neither a collector nor a file.
 pub(crate) struct Traces {
     provider: Option<SdkTracerProvider>,
     tracer: Option<SdkTracer>,
     entry: String,
 }
 
-/// A span that has begun; it ends with its outcome.
+/// A started span.
 pub(crate) struct ActiveSpan {
     span: Option<Span>,
     fallback: Option<TraceContext>,
@@ -51,7 +51,7 @@
         Self { provider, tracer, entry: settings.entry.to_string() }
     }
 
-    /// Starts a span under `parent`, or none where there is no parent.
+    /// Starts a span under `parent`, or none if there is no parent.
     pub(crate) fn start(
         &self,
         name: &'static str,
@@ -62,7 +62,7 @@
         ActiveSpan { span, fallback: parent }
     }
 
-    /// Starts a span under `parent`, or a trace of its own, subject to sampling.
+    /// Starts a span under `parent`, or a new trace, subject to sampling.
     pub(crate) fn start_root(
         &self,
         name: &'static str,
@@ -97,7 +97,7 @@
         Some(tracer.build_with_context(builder, &context))
     }
 
-    /// Sends what has not been exported yet; blocks for a bounded time.
+    /// Exports the remaining spans and shuts down; blocks for a bounded time.
     pub(crate) fn flush(&self) {
         if let Some(provider) = &self.provider
             && let Err(error) = provider.shutdown()
@@ -108,7 +108,7 @@
 }
 
 impl ActiveSpan {
-    /// The context for the next hop.
+    /// Returns the context for the next hop.
     pub(crate) fn context(&self) -> Option<TraceContext> {
         let Some(span) = &self.span else { return self.fallback };
         let context = span.span_context();
@@ -120,7 +120,7 @@
         (own.flags == FLAG_SAMPLED).then_some(own).or(self.fallback)
     }
 
-    /// Ends the span with the outcome of its hop.
+    /// Ends the span and records the outcome of its hop.
     pub(crate) fn end(mut self, outcome: &str) {
         if let Some(span) = &mut self.span {
             span.set_attribute(KeyValue::new("outcome", outcome.to_owned()));
@@ -155,7 +155,7 @@
     Ok(Some(builder.with_batch_exporter(exporter).build()))
 }
 
-/// HTTP client of the collector, over `ureq`; runs on the exporter's own thread.
+/// HTTP client for the collector, based on `ureq`; runs on the exporter's own thread.
 #[derive(Debug)]
 struct CollectorClient {
     agent: ureq::Agent,
@@ -184,7 +184,7 @@
     }
 }
 
-/// Writes each span as one JSON object a line.
+/// Writes spans as JSON, one object a line.
 #[derive(Debug)]
 struct FileExporter {
     file: Arc<Mutex<File>>,
--- a/crates/jackdawpierd/src/view_sync.rs
+++ b/crates/jackdawpierd/src/view_sync.rs
@@ -1,4 +1,4 @@
-//! Keeps the view of members, owners and documents in step with the store.
+//! Keeps the view of members, owners and documents in sync with the store.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,13 +10,13 @@
     heartbeats::refresh_services,
 };
 
-/// Longest wait of one watch call; the store counts each waiting call as one.
+/// Maximum wait of one watch call. The store counts a call as one, however long it waits.
 const WATCH_WAIT: Duration = Duration::from_secs(5);
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
-/// Most records read at a time.
+/// Maximum number of records per page.
 const PAGE_RECORDS: usize = 256;
 
-/// Starts the loop.
+/// Starts the sync loop.
 pub(crate) fn spawn(entry: &Arc<Entry>) {
     let entry = Arc::clone(entry);
     tokio::spawn(async move {
@@ -29,7 +29,8 @@
     });
 }
 
-/// Reads everything, then watches until a call fails or the store has forgotten too much.
+/// Reads all records, then applies changes until a call fails or the store has compacted the
+/// revision to continue from.
 async fn sync_until_error(entry: &Arc<Entry>) -> Result<(), StoreError> {
     let (records, mut revision) = read_snapshot(entry).await?;
     apply_snapshot(entry, &records, revision);
@@ -71,7 +72,7 @@
         let Response::Records { records, more, store_revision } = response else {
             return Err(StoreError::unavailable("an answer of another kind"));
         };
-        // Changes after the first page are read again from the watch.
+        // The watch starts at the first page's revision, so it repeats later changes.
         let revision = *first_revision.get_or_insert(store_revision);
         all.extend(records);
         if !more {
@@ -103,7 +104,7 @@
     };
     refresh_services(entry);
     for repair in repairs {
-        log::warn!(event = "store_behind"; "the store has an older document than is in force");
+        log::warn!(event = "store_behind"; "repairing the store: it has an older document than the one in force");
         let entry = Arc::clone(entry);
         tokio::spawn(async move { entry.call_store(repair).await });
     }
--- a/crates/jackdawpierd/src/worker_client.rs
+++ b/crates/jackdawpierd/src/worker_client.rs
@@ -1,4 +1,4 @@
-//! Talks to workers about tasks.
+//! HTTP client for the workers' task API.
 
 use std::{io, time::Duration};
 
@@ -9,7 +9,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 const MAX_REPORT_BYTES: u64 = 16 << 20;
 
-/// HTTP client of the workers.
+/// HTTP client for workers.
 #[derive(Debug, Clone)]
 pub(crate) struct WorkerClient {
     agent: ureq::Agent,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Sends a command about a task and returns the worker's report, if one came.
+    /// Sends a command about a task and returns the worker's report, if it arrived.
     pub(crate) fn send_command(&self, address: &str, command: &TaskCommand) -> Option<TaskReport> {
         let body = serde_json::to_vec(command).expect("commands are plain data");
         let url = format!("http://{address}{TASKS_PATH}/command");
--- a/crates/jackdawpierd/src/writer_query.rs
+++ b/crates/jackdawpierd/src/writer_query.rs
@@ -1,4 +1,4 @@
-//! Asks the entry that wrote an intent what became of the request.
+//! Queries the entry that wrote an intent for the outcome of the request.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,34 +15,34 @@
     service::Service,
 };
 
-/// Longest wait for one answer.
+/// Timeout of one query.
 const QUERY_TIMEOUT: Duration = Duration::from_millis(800);
-/// Wait before an entry that lives is asked again.
+/// Interval between two queries to the same entry.
 const QUERY_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What an entry that was asked once said.
+/// Reply to one query.
 enum WriterReply {
     State(Option<KeyState>),
     NoAnswer,
 }
 
-/// One question about keys of a service.
+/// A query about keys of a service.
 pub(crate) struct WriterQuery<'a> {
     pub(crate) service: &'a Arc<Service>,
     /// The entry that wrote the intent.
     pub(crate) writer: &'a EntryId,
-    /// When the cell was opened here.
+    /// Time at which this entry opened the cell.
     pub(crate) opened_at: Now,
-    /// When the caller's time is over.
+    /// Deadline of the caller's request.
     pub(crate) deadline: Now,
 }
 
 impl WriterQuery<'_> {
-    /// Asks until the entry has an end to tell, is found to know nothing, or is gone.
+    /// Queries the writer until it reports a final state or that it has none, or is gone.
     ///
-    /// While its request runs, the repeat waits for it as at one owner. An entry that is heard but
-    /// is not back among the members is waited for during one lease after the takeover: both come
-    /// from the same outage of the store.
+    /// While the writer's request runs, the repeat waits for its outcome, as it would at a single
+    /// owner. A writer that sends heartbeats but doesn't answer is queried for one lease after the
+    /// takeover: after an outage of the store it may not be listed as a member again yet.
     pub(crate) async fn run(&self, entry: &Arc<Entry>, key: &RequestKey) -> Option<KeyState> {
         loop {
             let give_up_at = match self.query_once(entry, key).await {
@@ -65,7 +65,7 @@
 
     async fn query_once(&self, entry: &Arc<Entry>, key: &RequestKey) -> WriterReply {
         if self.writer == entry.name() {
-            // An earlier start of this entry wrote it; its memory is gone.
+            // A previous incarnation of this entry wrote the intent; its state is lost.
             return WriterReply::State(None);
         }
         let address = {
