--- a/crates/jackdawpier/src/client.rs
+++ b/crates/jackdawpier/src/client.rs
@@ -10,11 +10,11 @@
 
 /// How long an entry may be silent. How long a document or a list of jobs is depends on the users.
 const LIMITS: ClientLimits = ClientLimits {
-    connect: Duration::from_secs(15),
-    silence: Duration::from_secs(15),
+    connect_timeout: Duration::from_secs(15),
+    io_timeout: Duration::from_secs(15),
     // A second answer on one connection waits 40 ms for an acknowledgement that the system delays:
     // the port's server sends head and body apart.
-    idle_connections: 0,
+    max_idle_connections: 0,
 };
 
 /// A client of one entry.
--- a/crates/jackdawpier_bench/src/days.rs
+++ b/crates/jackdawpier_bench/src/days.rs
@@ -12,7 +12,7 @@
     surge::{end_surge, request_surge},
     wave::{Wave, WaveState},
 };
-use jackdawpier_settings::declaration::Domain;
+use jackdawpier_settings::declaration::FailureDomain;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -268,7 +268,7 @@
         let spec = self.deployment.pools[ix];
         // While a zone is out, that loss is the one that is survived; a rack may still go.
         let survive = match (self.lost_zone, spec.survive) {
-            (Some(_), Domain::Zone) => Domain::Rack,
+            (Some(_), FailureDomain::Zone) => FailureDomain::Rack,
             (_, survive) => survive,
         };
         let target = PoolTarget { need, cautious_need, may_lose: spec.may_lose, survive };
@@ -461,8 +461,8 @@
             self.measured.buffer_informed_minutes += f64::from(informed) - f64::from(need);
             self.measured.buffer_minutes += f64::from(pool.committed.total()) - f64::from(need);
             if pool.serving.total() + spec.may_lose < need {
-                let is_beyond =
-                    self.extra_failure || self.lost_zone.is_some() && spec.survive != Domain::Zone;
+                let is_beyond = self.extra_failure
+                    || self.lost_zone.is_some() && spec.survive != FailureDomain::Zone;
                 if is_beyond {
                     self.measured.below_budget_beyond_minutes += 1;
                 } else {
--- a/crates/jackdawpier_bench/src/deployment.rs
+++ b/crates/jackdawpier_bench/src/deployment.rs
@@ -4,7 +4,7 @@
     fleet::{Fleet, Location, PoolTarget},
     planner::Ceilings,
 };
-use jackdawpier_settings::declaration::Domain;
+use jackdawpier_settings::declaration::FailureDomain;
 
 /// When a pool's demand is high.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -23,7 +23,7 @@
     /// Instances by which it may fall short.
     pub may_lose: u32,
     /// Failure domain that it survives.
-    pub survive: Domain,
+    pub survive: FailureDomain,
     /// Shape of its day.
     pub shape: Shape,
 }
@@ -47,7 +47,7 @@
     pub ceilings: Ceilings,
 }
 
-fn pool(peak: u32, may_lose: u32, survive: Domain, shape: Shape) -> PoolSpec {
+fn pool(peak: u32, may_lose: u32, survive: FailureDomain, shape: Shape) -> PoolSpec {
     PoolSpec { peak, may_lose, survive, shape }
 }
 
@@ -60,11 +60,11 @@
         per_rack: 4,
         racks_per_switch: 2,
         pools: vec![
-            pool(12, 1, Domain::Zone, Shape::Day),
-            pool(6, 1, Domain::Zone, Shape::Day),
-            pool(5, 1, Domain::Rack, Shape::Day),
-            pool(4, 1, Domain::Rack, Shape::Day),
-            pool(6, 2, Domain::Rack, Shape::Night),
+            pool(12, 1, FailureDomain::Zone, Shape::Day),
+            pool(6, 1, FailureDomain::Zone, Shape::Day),
+            pool(5, 1, FailureDomain::Rack, Shape::Day),
+            pool(4, 1, FailureDomain::Rack, Shape::Day),
+            pool(6, 2, FailureDomain::Rack, Shape::Night),
         ],
         ceilings: Ceilings { moves_per_day: None, buffer_instances: Some(18) },
     }
@@ -79,11 +79,11 @@
         per_rack: 4,
         racks_per_switch: 2,
         pools: vec![
-            pool(10, 1, Domain::Zone, Shape::Day),
-            pool(6, 1, Domain::Zone, Shape::Day),
-            pool(6, 1, Domain::Rack, Shape::Day),
-            pool(4, 1, Domain::Rack, Shape::Day),
-            pool(4, 1, Domain::Rack, Shape::Night),
+            pool(10, 1, FailureDomain::Zone, Shape::Day),
+            pool(6, 1, FailureDomain::Zone, Shape::Day),
+            pool(6, 1, FailureDomain::Rack, Shape::Day),
+            pool(4, 1, FailureDomain::Rack, Shape::Day),
+            pool(4, 1, FailureDomain::Rack, Shape::Night),
         ],
         ceilings: Ceilings { moves_per_day: Some(14), buffer_instances: None },
     }
--- a/crates/jackdawpier_bench/src/jobs.rs
+++ b/crates/jackdawpier_bench/src/jobs.rs
@@ -17,7 +17,7 @@
     ids::{JobId, WorkerId},
     task::{TaskAction, TaskReport, TaskResources, TaskState},
 };
-use jackdawpier_settings::declaration::{Class, Domain, Kind};
+use jackdawpier_settings::declaration::{Class, FailureDomain, WorkKind};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -161,12 +161,12 @@
     Class {
         name: name.into(),
         service: "refresh".into(),
-        kind: Kind::Refresh,
+        kind: WorkKind::Refresh,
         idempotent: true,
         finish_within_ms: finish_within.as_millis() as u64,
         capacity_instances: 1,
         may_lose_instances: 0,
-        survive: Domain::Rack,
+        survive: FailureDomain::Rack,
     }
 }
 
--- a/crates/jackdawpier_bench/src/lower_bound.rs
+++ b/crates/jackdawpier_bench/src/lower_bound.rs
@@ -1,21 +1,21 @@
 //! Arithmetic lower bounds: what no planner could beat with perfect knowledge.
 
 use jackdawpier_capacity::explain::min_instances;
-use jackdawpier_settings::declaration::Domain;
+use jackdawpier_settings::declaration::FailureDomain;
 
 use crate::deployment::{Deployment, PoolSpec};
 
 /// The fewest instances of a pool with `need` at this moment.
 pub fn pool_size(deployment: &Deployment, pool: &PoolSpec, need: u32) -> u32 {
     let domains = match pool.survive {
-        Domain::Zone => deployment.zones,
-        Domain::Switch => deployment.racks().div_ceil(deployment.racks_per_switch),
-        Domain::Rack | Domain::Instance => deployment.racks(),
+        FailureDomain::Zone => deployment.zones,
+        FailureDomain::Switch => deployment.racks().div_ceil(deployment.racks_per_switch),
+        FailureDomain::Rack | FailureDomain::Instance => deployment.racks(),
     };
     let domain_size = match pool.survive {
-        Domain::Zone => deployment.instances / deployment.zones,
-        Domain::Switch => deployment.per_rack * deployment.racks_per_switch,
-        Domain::Rack | Domain::Instance => deployment.per_rack,
+        FailureDomain::Zone => deployment.instances / deployment.zones,
+        FailureDomain::Switch => deployment.per_rack * deployment.racks_per_switch,
+        FailureDomain::Rack | FailureDomain::Instance => deployment.per_rack,
     };
     min_instances(need, pool.may_lose, domains, pool.survive, domain_size)
 }
@@ -32,7 +32,7 @@
 
 fn left_after_loss(deployment: &Deployment, pool: &PoolSpec, size: u32) -> u32 {
     let domains = match pool.survive {
-        Domain::Zone => deployment.zones,
+        FailureDomain::Zone => deployment.zones,
         _ => deployment.racks(),
     };
     size - size.div_ceil(domains.max(1))
--- a/crates/jackdawpier_bench/src/routing.rs
+++ b/crates/jackdawpier_bench/src/routing.rs
@@ -13,7 +13,7 @@
     dispatcher::{AttemptOutcome, Command, Dispatcher, RequestInfo},
     executors::ExecutorInfo,
 };
-use jackdawpier_settings::declaration::{Class, Domain, Kind};
+use jackdawpier_settings::declaration::{Class, FailureDomain, WorkKind};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -76,12 +76,12 @@
     Class {
         name: CLASS.into(),
         service: "widgets".into(),
-        kind: Kind::Quick,
+        kind: WorkKind::Quick,
         idempotent: true,
         finish_within_ms: FINISH_WITHIN.as_millis() as u64,
         capacity_instances: 1,
         may_lose_instances: 0,
-        survive: Domain::Instance,
+        survive: FailureDomain::Instance,
     }
 }
 
--- a/crates/jackdawpier_bench/src/scale.rs
+++ b/crates/jackdawpier_bench/src/scale.rs
@@ -33,7 +33,9 @@
     executors::ExecutorInfo,
     routing::{self, route_unkeyed},
 };
-use jackdawpier_settings::declaration::{CeilingOptions, Class, Declaration, Domain, Kind};
+use jackdawpier_settings::declaration::{
+    CeilingOptions, Class, Declaration, FailureDomain, WorkKind,
+};
 use jackdawpier_store::{Change, Record};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region};
 
@@ -82,7 +84,7 @@
             need,
             cautious_need: need,
             may_lose: 1,
-            survive: Domain::Zone,
+            survive: FailureDomain::Zone,
         });
     }
     fleet
@@ -171,12 +173,12 @@
     Class {
         name: name.into(),
         service: service.into(),
-        kind: Kind::Quick,
+        kind: WorkKind::Quick,
         idempotent: true,
         finish_within_ms: 1_000,
         capacity_instances: 10,
         may_lose_instances: 1,
-        survive: Domain::Zone,
+        survive: FailureDomain::Zone,
     }
 }
 
--- a/crates/jackdawpier_capacity/src/explain.rs
+++ b/crates/jackdawpier_capacity/src/explain.rs
@@ -1,7 +1,7 @@
 //! Breakdown of a pool's buffer, which answers why its capacity is held back.
 
 use derive_more::Display;
-use jackdawpier_settings::declaration::Domain;
+use jackdawpier_settings::declaration::FailureDomain;
 use serde::{Deserialize, Serialize};
 
 use crate::fleet::Pool;
@@ -20,7 +20,7 @@
     /// Instances in excess of the need.
     pub buffer: u32,
     /// Kind of failure domain whose loss the pool must survive.
-    pub survive: Domain,
+    pub survive: FailureDomain,
     /// Instances in the largest domain of that kind.
     pub worst_loss: u32,
     /// Instances that remain after the loss of that domain.
@@ -53,13 +53,13 @@
     need: u32,
     may_lose: u32,
     domain_count: u32,
-    survive: Domain,
+    survive: FailureDomain,
     domain_size: u32,
 ) -> u32 {
     let mut instances = need;
     loop {
         let worst = match survive {
-            Domain::Instance => instances.min(1),
+            FailureDomain::Instance => instances.min(1),
             _ => instances.div_ceil(domain_count.max(1)).min(domain_size.max(1)),
         };
         if instances - worst + may_lose >= need || domain_count <= 1 {
--- a/crates/jackdawpier_capacity/src/fleet.rs
+++ b/crates/jackdawpier_capacity/src/fleet.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeSet;
 
-use jackdawpier_settings::declaration::Domain;
+use jackdawpier_settings::declaration::FailureDomain;
 use serde::{Deserialize, Serialize};
 
 use crate::{DomainIx, InstanceIx, PoolIx, counts::DomainCounts};
@@ -23,12 +23,12 @@
 
 impl Location {
     /// Returns the domain of this kind that contains the location; `None` for the instance itself.
-    pub fn domain(&self, kind: Domain) -> Option<DomainIx> {
+    pub fn domain(&self, kind: FailureDomain) -> Option<DomainIx> {
         match kind {
-            Domain::Instance => None,
-            Domain::Rack => Some(self.rack),
-            Domain::Switch => Some(self.switch),
-            Domain::Zone => Some(self.zone),
+            FailureDomain::Instance => None,
+            FailureDomain::Rack => Some(self.rack),
+            FailureDomain::Switch => Some(self.switch),
+            FailureDomain::Zone => Some(self.zone),
         }
     }
 }
@@ -74,7 +74,7 @@
     /// Tolerated shortfall after the loss of a failure domain, in instances.
     pub may_lose: u32,
     /// Kind of failure domain whose loss it must survive.
-    pub survive: Domain,
+    pub survive: FailureDomain,
 }
 
 impl PoolTarget {
@@ -114,12 +114,12 @@
     }
 
     /// Returns the number of instances in the largest domain of this kind.
-    pub fn worst_loss(&self, domain: Domain) -> u32 {
+    pub fn worst_loss(&self, domain: FailureDomain) -> u32 {
         match domain {
-            Domain::Instance => self.total.min(1),
-            Domain::Rack => self.racks.largest(),
-            Domain::Switch => self.switches.largest(),
-            Domain::Zone => self.zones.largest(),
+            FailureDomain::Instance => self.total.min(1),
+            FailureDomain::Rack => self.racks.largest(),
+            FailureDomain::Switch => self.switches.largest(),
+            FailureDomain::Zone => self.zones.largest(),
         }
     }
 
@@ -133,12 +133,12 @@
     }
 
     /// Returns whether the removal of an instance at `location` makes the largest domain smaller.
-    pub fn reduces_worst_loss(&self, domain: Domain, location: &Location) -> bool {
+    pub fn reduces_worst_loss(&self, domain: FailureDomain, location: &Location) -> bool {
         let (counts, ix) = match domain {
-            Domain::Instance => return false,
-            Domain::Rack => (&self.racks, location.rack),
-            Domain::Switch => (&self.switches, location.switch),
-            Domain::Zone => (&self.zones, location.zone),
+            FailureDomain::Instance => return false,
+            FailureDomain::Rack => (&self.racks, location.rack),
+            FailureDomain::Switch => (&self.switches, location.switch),
+            FailureDomain::Zone => (&self.zones, location.zone),
         };
         counts.get(ix) == counts.largest() && counts.domains_at_largest() == 1
     }
@@ -197,9 +197,9 @@
         let spread = if self.wave_surge > 0 { &self.committed_after_wave } else { &self.committed };
         let (zone, switch, rack) = spread.counts_at(location);
         match self.target.survive {
-            Domain::Instance | Domain::Zone => (zone, switch, rack),
-            Domain::Switch => (switch, rack, zone),
-            Domain::Rack => (rack, zone, switch),
+            FailureDomain::Instance | FailureDomain::Zone => (zone, switch, rack),
+            FailureDomain::Switch => (switch, rack, zone),
+            FailureDomain::Rack => (rack, zone, switch),
         }
     }
 
--- a/crates/jackdawpier_http/src/lib.rs
+++ b/crates/jackdawpier_http/src/lib.rs
@@ -30,17 +30,17 @@
 const MAX_HEADERS: usize = 64;
 
 /// A body that arrives more slowly is given up, so that a byte now and then holds no connection.
-const LEAST_BODY_BYTES_PER_S: f64 = 16_384.0;
+const MIN_BODY_BYTES_PER_S: f64 = 16_384.0;
 
 /// Limits on what a caller may hold.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerLimits {
     /// Open connections.
-    pub connections: usize,
+    pub max_connections: usize,
     /// Time to send a whole head, and longest pause within a body.
     pub read_timeout: Duration,
     /// Largest body in bytes.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
 }
 
 /// A whole request.
@@ -73,14 +73,14 @@
     /// Whole body.
     pub body: Bytes,
     /// Sends only this many bytes of the body and then breaks the connection, for stand-ins.
-    pub cut_after_bytes: Option<usize>,
+    pub truncate_after_bytes: Option<usize>,
 }
 
 impl Reply {
     /// Returns a reply with a body of the given content type.
     pub fn new(status: u16, content_type: &str, body: impl Into<Bytes>) -> Self {
         let headers = vec![("content-type", content_type.to_owned())];
-        Self { status, headers, body: body.into(), cut_after_bytes: None }
+        Self { status, headers, body: body.into(), truncate_after_bytes: None }
     }
 
     /// Adds a header.
@@ -104,12 +104,12 @@
     handler: H,
     mut stop: watch::Receiver<bool>,
 ) {
-    let permits = Arc::new(Semaphore::new(limits.connections));
+    let permits = Arc::new(Semaphore::new(limits.max_connections));
     let mut connections = JoinSet::new();
     loop {
         let permit = Arc::clone(&permits).acquire_owned();
         let accepted = tokio::select! {
-            () = stopped(&mut stop) => break,
+            () = wait_for_stop(&mut stop) => break,
             accepted = async {
                 let permit = permit.await.expect("the semaphore is never closed");
                 (permit, listener.accept().await)
@@ -141,7 +141,7 @@
     mut stop: watch::Receiver<bool>,
 ) {
     let _ = stream.set_nodelay(true);
-    let service = service_fn(move |request| answer(request, limits, handler.clone()));
+    let service = service_fn(move |request| handle_request(request, limits, handler.clone()));
     let connection = hyper::server::conn::http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.read_timeout)
@@ -150,35 +150,37 @@
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = std::pin::pin!(connection);
     tokio::select! {
-        result = connection.as_mut() => log_end(result),
-        () = stopped(&mut stop) => {
+        result = connection.as_mut() => log_connection_error(result),
+        () = wait_for_stop(&mut stop) => {
             connection.as_mut().graceful_shutdown();
-            log_end(connection.await);
+            log_connection_error(connection.await);
         }
     }
 }
 
 /// Waits until `stop` turns true, or its sender is gone.
-pub async fn stopped(stop: &mut watch::Receiver<bool>) {
+pub async fn wait_for_stop(stop: &mut watch::Receiver<bool>) {
     let _ = stop.wait_for(|is_stopping| *is_stopping).await;
 }
 
-fn log_end(result: hyper::Result<()>) {
+fn log_connection_error(result: hyper::Result<()>) {
     if let Err(error) = result {
         log::debug!(event = "connection_ended"; "{error}");
     }
 }
 
-async fn answer<H: Handler>(
+async fn handle_request<H: Handler>(
     request: Request<Incoming>,
     limits: ServerLimits,
     handler: H,
-) -> Result<Response<CutBody>, Infallible> {
+) -> Result<Response<ReplyBody>, Infallible> {
     let (parts, body) = request.into_parts();
     let reply = match read_body(body, limits).await {
-        Err(BodyError::Late) => Reply::new(408, "text/plain", "the body did not arrive in time\n"),
-        Err(BodyError::Broken) => {
-            let bound = limits.body_bytes;
+        Err(BodyError::TimedOut) => {
+            Reply::new(408, "text/plain", "the body did not arrive in time\n")
+        }
+        Err(BodyError::TooLargeOrAborted) => {
+            let bound = limits.max_body_bytes;
             let text = format!("the body has more than {bound} bytes or was cut off\n");
             Reply::new(413, "text/plain", text)
         }
@@ -196,45 +198,46 @@
 /// Why there is no whole body.
 enum BodyError {
     /// The caller paused for too long, or sends too slowly.
-    Late,
+    TimedOut,
     /// It is too long, or the connection ended.
-    Broken,
+    TooLargeOrAborted,
 }
 
 /// Reads a body for as long as it arrives: how long it is, the caller decides.
 async fn read_body(body: Incoming, limits: ServerLimits) -> Result<Bytes, BodyError> {
-    let mut body = Limited::new(body, limits.body_bytes);
+    let mut body = Limited::new(body, limits.max_body_bytes);
     let mut received = BytesMut::new();
     let started_at = Instant::now();
     loop {
-        let earned = Duration::from_secs_f64(received.len() as f64 / LEAST_BODY_BYTES_PER_S);
-        let pause_ends_at = Instant::now() + limits.read_timeout;
-        let ends_at = pause_ends_at.min(started_at + limits.read_timeout + earned);
-        let frame = tokio::time::timeout_at(ends_at, body.frame()).await;
-        let Some(frame) = frame.map_err(|_| BodyError::Late)? else {
+        let transfer_allowance =
+            Duration::from_secs_f64(received.len() as f64 / MIN_BODY_BYTES_PER_S);
+        let stall_deadline = Instant::now() + limits.read_timeout;
+        let deadline = stall_deadline.min(started_at + limits.read_timeout + transfer_allowance);
+        let frame = tokio::time::timeout_at(deadline, body.frame()).await;
+        let Some(frame) = frame.map_err(|_| BodyError::TimedOut)? else {
             return Ok(received.freeze());
         };
-        if let Ok(data) = frame.map_err(|_| BodyError::Broken)?.into_data() {
+        if let Ok(data) = frame.map_err(|_| BodyError::TooLargeOrAborted)?.into_data() {
             received.extend_from_slice(&data);
         }
     }
 }
 
 /// A full body, or one that breaks off for a stand-in's truncated answer.
-type CutBody = http_body_util::combinators::BoxBody<Bytes, CutOff>;
+type ReplyBody = http_body_util::combinators::BoxBody<Bytes, TruncatedBody>;
 
 /// The stand-in broke the answer off on purpose.
 #[derive(Debug, Clone, Copy, derive_more::Display, derive_more::Error)]
 #[display("the answer was cut off on purpose")]
-pub struct CutOff;
+pub struct TruncatedBody;
 
-fn into_response(reply: Reply) -> Response<CutBody> {
+fn into_response(reply: Reply) -> Response<ReplyBody> {
     let length = reply.body.len();
-    let body = match reply.cut_after_bytes {
+    let body = match reply.truncate_after_bytes {
         None => Full::new(reply.body).map_err(|never| match never {}).boxed(),
         Some(count) => {
             let start = reply.body.slice(..count.min(length));
-            let frames = [Ok(hyper::body::Frame::data(start)), Err(CutOff)];
+            let frames = [Ok(hyper::body::Frame::data(start)), Err(TruncatedBody)];
             http_body_util::StreamBody::new(IterStream(frames.into_iter())).boxed()
         }
     };
@@ -246,7 +249,7 @@
             response.headers_mut().append(HeaderName::from_static(name), value);
         }
     }
-    if reply.cut_after_bytes.is_some() {
+    if reply.truncate_after_bytes.is_some() {
         response.headers_mut().insert("content-length", HeaderValue::from(length));
     }
     response
--- a/crates/jackdawpier_http/tests/slow_bodies.rs
+++ b/crates/jackdawpier_http/tests/slow_bodies.rs
@@ -9,8 +9,11 @@
     sync::watch,
 };
 
-const LIMITS: ServerLimits =
-    ServerLimits { connections: 16, read_timeout: Duration::from_millis(500), body_bytes: 1 << 20 };
+const LIMITS: ServerLimits = ServerLimits {
+    max_connections: 16,
+    read_timeout: Duration::from_millis(500),
+    max_body_bytes: 1 << 20,
+};
 const PAUSE: Duration = Duration::from_millis(100);
 /// Well above the time after which a caller who sends nothing is given up.
 const SILENCE_BOUND: Duration = Duration::from_millis(1_500);
--- a/crates/jackdawpier_proofs/tests/budgets.rs
+++ b/crates/jackdawpier_proofs/tests/budgets.rs
@@ -8,7 +8,7 @@
     wave::{Wave, WaveState},
 };
 use jackdawpier_kernel::Now;
-use jackdawpier_settings::declaration::Domain;
+use jackdawpier_settings::declaration::FailureDomain;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -31,10 +31,10 @@
     for _ in 0..POOLS {
         let need = random.random_range(1..10);
         let survive = match random.random_range(0..4) {
-            0 => Domain::Instance,
-            1 => Domain::Rack,
-            2 => Domain::Switch,
-            _ => Domain::Zone,
+            0 => FailureDomain::Instance,
+            1 => FailureDomain::Rack,
+            2 => FailureDomain::Switch,
+            _ => FailureDomain::Zone,
         };
         let may_lose = random.random_range(0..need.min(3));
         fleet.add_pool(PoolTarget { need, cautious_need: need, may_lose, survive });
@@ -54,7 +54,7 @@
         .collect();
     let total = serving.len() as i64;
     let worst = match target.survive {
-        Domain::Instance => total.min(1),
+        FailureDomain::Instance => total.min(1),
         kind => serving
             .iter()
             .map(|place| {
--- a/crates/jackdawpier_proofs/tests/jobs.rs
+++ b/crates/jackdawpier_proofs/tests/jobs.rs
@@ -12,7 +12,7 @@
     ids::{JobId, WorkerId},
     task::{StartTask, TaskAction, TaskReport, TaskResources, TaskState},
 };
-use jackdawpier_settings::declaration::{Class, Domain, Kind};
+use jackdawpier_settings::declaration::{Class, FailureDomain, WorkKind};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
@@ -76,12 +76,12 @@
     Class {
         name: "nightly".into(),
         service: "refresh".into(),
-        kind: Kind::Refresh,
+        kind: WorkKind::Refresh,
         idempotent: true,
         finish_within_ms: 3_600_000,
         capacity_instances: 1,
         may_lose_instances: 0,
-        survive: Domain::Rack,
+        survive: FailureDomain::Rack,
     }
 }
 
--- a/crates/jackdawpier_proofs/tests/world/mod.rs
+++ b/crates/jackdawpier_proofs/tests/world/mod.rs
@@ -19,7 +19,9 @@
 
 use jackdawpier_coord::configuration::WriterId;
 use jackdawpier_kernel::{Now, ids::RequestKey, outcome::Outcome};
-use jackdawpier_settings::declaration::{CeilingOptions, Class, Declaration, Domain, Kind};
+use jackdawpier_settings::declaration::{
+    CeilingOptions, Class, Declaration, FailureDomain, WorkKind,
+};
 use jackdawpier_standin::store_model::StoreModel;
 use quickcheck::{Gen, QuickCheck, TestResult};
 use rand::{RngExt, SeedableRng};
@@ -113,12 +115,12 @@
     let class = Class {
         name: "assign".into(),
         service: SHARD.into(),
-        kind: Kind::Quick,
+        kind: WorkKind::Quick,
         idempotent: false,
         finish_within_ms: 5_000,
         capacity_instances,
         may_lose_instances: 0,
-        survive: Domain::Rack,
+        survive: FailureDomain::Rack,
     };
     Declaration {
         deployment: DEPLOYMENT.to_owned(),
--- a/crates/jackdawpier_route/tests/limits.rs
+++ b/crates/jackdawpier_route/tests/limits.rs
@@ -11,7 +11,7 @@
     dispatcher::{AttemptOutcome, Command, Dispatcher, RequestInfo},
     executors::ExecutorInfo,
 };
-use jackdawpier_settings::declaration::{Class, Domain, Kind};
+use jackdawpier_settings::declaration::{Class, FailureDomain, WorkKind};
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
 
 const SEED: u64 = 20_261_202;
@@ -50,12 +50,12 @@
     Class {
         name: "render".into(),
         service: "widgets".into(),
-        kind: Kind::Quick,
+        kind: WorkKind::Quick,
         idempotent: false,
         finish_within_ms: 500,
         capacity_instances: 1,
         may_lose_instances: 0,
-        survive: Domain::Instance,
+        survive: FailureDomain::Instance,
     }
 }
 
--- a/crates/jackdawpier_settings/src/declaration.rs
+++ b/crates/jackdawpier_settings/src/declaration.rs
@@ -31,7 +31,7 @@
     /// The service whose executors do the work.
     pub service: Spanned<String>,
     /// What kind of work it is.
-    pub kind: Kind,
+    pub kind: WorkKind,
     /// Whether running a request twice does no harm.
     #[serde(default)]
     pub idempotent: bool,
@@ -44,7 +44,7 @@
     pub may_lose_instances: Option<Spanned<u32>>,
     /// The largest failure domain whose loss it must survive.
     #[serde(default)]
-    pub survive: Domain,
+    pub survive: FailureDomain,
 }
 
 /// Ceilings that say what a deployment prefers, as targets.
@@ -62,7 +62,7 @@
 /// Kinds of work, by how a caller waits for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+pub enum WorkKind {
     /// The caller waits and expects an instant answer.
     Quick,
     /// The caller waits for a heavy answer until its deadline.
@@ -76,7 +76,7 @@
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
-pub enum Domain {
+pub enum FailureDomain {
     /// One instance.
     #[default]
     Instance,
@@ -107,7 +107,7 @@
     /// The service whose executors do the work.
     pub service: ServiceName,
     /// What kind of work it is.
-    pub kind: Kind,
+    pub kind: WorkKind,
     /// Whether running a request twice does no harm.
     pub idempotent: bool,
     /// Time within which work must finish, in milliseconds.
@@ -117,7 +117,7 @@
     /// Instances by which it may fall short.
     pub may_lose_instances: u32,
     /// Failure domain whose loss it survives.
-    pub survive: Domain,
+    pub survive: FailureDomain,
 }
 
 impl Class {
--- a/crates/jackdawpier_settings/src/rules/settings/message_size.rs
+++ b/crates/jackdawpier_settings/src/rules/settings/message_size.rs
@@ -11,18 +11,19 @@
 };
 
 /// Longest body or answer that entries can send each other beside its path and names.
-pub const MAX_CARRIED_BYTES: usize = 16_711_680;
+pub const MAX_PEER_PAYLOAD_BYTES: usize = 16_711_680;
 
 pub(crate) fn check(options: &Options, checker: &mut Checker<'_>) {
     let limits = &options.limits;
     let given =
         [("limits.body_bytes", &limits.body_bytes), ("limits.answer_bytes", &limits.answer_bytes)];
     for (field, limit) in given {
-        let Some(limit) = limit.as_ref().filter(|limit| limit.value > MAX_CARRIED_BYTES) else {
+        let Some(limit) = limit.as_ref().filter(|limit| limit.value > MAX_PEER_PAYLOAD_BYTES)
+        else {
             continue;
         };
         let message = format!("{} bytes don't fit into a message between entries", limit.value);
-        let fix = format!("at most {MAX_CARRIED_BYTES} bytes");
+        let fix = format!("at most {MAX_PEER_PAYLOAD_BYTES} bytes");
         checker.report(&MESSAGE_SIZE, limit, field, message, fix);
     }
 }
--- a/crates/jackdawpier_settings/src/settings.rs
+++ b/crates/jackdawpier_settings/src/settings.rs
@@ -16,11 +16,11 @@
     /// Availability zone of this instance.
     pub zone: ZoneName,
     /// TCP address for callers.
-    pub callers: SocketAddr,
+    pub caller_address: SocketAddr,
     /// TCP address for operators.
-    pub operators: SocketAddr,
+    pub operator_address: SocketAddr,
     /// UDP address for peers.
-    pub peers: SocketAddr,
+    pub peer_address: SocketAddr,
     /// Base address of the store.
     pub store_url: String,
     /// Base address of the instance list.
@@ -179,9 +179,9 @@
         Settings {
             entry: self.entry.value.as_str().into(),
             zone: self.zone.value.as_str().into(),
-            callers: address(&self.listen.callers.value),
-            operators: address(&self.listen.operators.value),
-            peers: address(&self.listen.peers.value),
+            caller_address: address(&self.listen.callers.value),
+            operator_address: address(&self.listen.operators.value),
+            peer_address: address(&self.listen.peers.value),
             store_url: self.store_url.value.trim_end_matches('/').to_owned(),
             instance_list_url: self.instance_list_url.value.trim_end_matches('/').to_owned(),
             peer_tls: PeerTls {
--- a/crates/jackdawpier_standin/src/executor.rs
+++ b/crates/jackdawpier_standin/src/executor.rs
@@ -168,7 +168,7 @@
         };
         let mut reply = json(&WorkDone::new(work.nonce)).with_header(headers::REQUEST_ID, id);
         if faults.is_truncating {
-            reply.cut_after_bytes = Some(ANSWER_PADDING_BYTES / 2);
+            reply.truncate_after_bytes = Some(ANSWER_PADDING_BYTES / 2);
         }
         reply
     }
--- a/crates/jackdawpier_standin/src/process.rs
+++ b/crates/jackdawpier_standin/src/process.rs
@@ -6,12 +6,15 @@
 use serde::{Serialize, de::DeserializeOwned};
 use tokio::{net::TcpListener, sync::watch};
 
-const STANDIN_LIMITS: ServerLimits =
-    ServerLimits { connections: 4096, read_timeout: Duration::from_secs(60), body_bytes: 16 << 20 };
+const STANDIN_LIMITS: ServerLimits = ServerLimits {
+    max_connections: 4096,
+    read_timeout: Duration::from_secs(60),
+    max_body_bytes: 16 << 20,
+};
 
 /// Limits of a stand-in that takes this many connections.
 pub fn limits(connections: usize) -> ServerLimits {
-    ServerLimits { connections, ..STANDIN_LIMITS }
+    ServerLimits { max_connections: connections, ..STANDIN_LIMITS }
 }
 
 /// The stand-ins' limits.
--- a/crates/jackdawpier_standin/src/store_server.rs
+++ b/crates/jackdawpier_standin/src/store_server.rs
@@ -99,7 +99,7 @@
             None => Reply::new(503, "text/plain", "down\n"),
             Some(response) if is_lost => {
                 let mut reply = json(&response);
-                reply.cut_after_bytes = Some(0);
+                reply.truncate_after_bytes = Some(0);
                 reply
             }
             Some(response) => json(&response),
--- a/crates/jackdawpier_standin/src/worker.rs
+++ b/crates/jackdawpier_standin/src/worker.rs
@@ -128,7 +128,7 @@
         let mut reply = json(&task.report());
         state.tasks.insert(job, task);
         if state.faults.is_losing_answers {
-            reply.cut_after_bytes = Some(0);
+            reply.truncate_after_bytes = Some(0);
         }
         reply
     }
--- a/crates/jackdawpier_store/src/client.rs
+++ b/crates/jackdawpier_store/src/client.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use jackdawpier_client::{ClientLimits, is_not_sent, sending_time};
+use jackdawpier_client::{ClientLimits, is_not_sent, upload_time};
 
 use crate::{Request, Response, StoreError, StoreResult};
 
 /// Time for the store to accept a connection; nothing was sent before.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Silence after which the store is given up, besides what a watch waits.
-const SILENCE_TIMEOUT: Duration = Duration::from_secs(1);
-const IDLE_CONNECTIONS: usize = 8;
+const IO_TIMEOUT: Duration = Duration::from_secs(1);
+const MAX_IDLE_CONNECTIONS: usize = 8;
 /// Largest answer taken: a page of records.
 const MAX_ANSWER_BYTES: u64 = 64 << 20;
 
@@ -25,9 +25,9 @@
     /// Returns a client of the store at `base_url` (`http://IP:PORT`).
     pub fn new(base_url: &str) -> Self {
         let agent = jackdawpier_client::agent(ClientLimits {
-            connect: CONNECT_TIMEOUT,
-            silence: SILENCE_TIMEOUT,
-            idle_connections: IDLE_CONNECTIONS,
+            connect_timeout: CONNECT_TIMEOUT,
+            io_timeout: IO_TIMEOUT,
+            max_idle_connections: MAX_IDLE_CONNECTIONS,
         });
         Self { agent, url: format!("{base_url}/v1/store") }
     }
@@ -44,7 +44,7 @@
             .agent
             .post(&self.url)
             .config()
-            .timeout_per_read(Some(SILENCE_TIMEOUT + wait + sending_time(body.len())))
+            .timeout_per_read(Some(IO_TIMEOUT + wait + upload_time(body.len())))
             .build()
             .header("content-type", "application/json")
             .send(&body)
--- a/crates/jackdawpierd/src/callers.rs
+++ b/crates/jackdawpierd/src/callers.rs
@@ -14,7 +14,7 @@
     trace::TraceContext,
 };
 use jackdawpier_peer::PeerError;
-use jackdawpier_settings::declaration::{Class, Kind};
+use jackdawpier_settings::declaration::{Class, WorkKind};
 
 use crate::{
     entry::Entry,
@@ -75,7 +75,7 @@
         let Some(work) = self.work(&request, &class, path) else {
             return refuse(RefusalReason::BadRequest);
         };
-        let is_job = class.kind == Kind::Refresh;
+        let is_job = class.kind == WorkKind::Refresh;
         let needs_owner = is_job || work.key.is_some();
         let is_read = matches!(work.method.as_str(), "GET" | "HEAD");
         let is_repeatable = class.idempotent || is_read || work.key.is_some();
@@ -138,7 +138,7 @@
             return None;
         }
         let class = self.entry.coordination().configuration.class(class).cloned()?;
-        if class.kind != Kind::Refresh {
+        if class.kind != WorkKind::Refresh {
             return None;
         }
         let found = act_on_job(&self.entry, &class.service, &id.into(), action).await;
--- a/crates/jackdawpierd/src/commands/run.rs
+++ b/crates/jackdawpierd/src/commands/run.rs
@@ -36,17 +36,18 @@
 }
 
 async fn serve(settings: Settings) -> Result<(), String> {
-    let callers = TcpListener::bind(settings.callers)
+    let callers = TcpListener::bind(settings.caller_address)
         .await
-        .map_err(|error| format!("callers' address {}: {error}", settings.callers))?;
-    let operators = tiny_http::Server::http(settings.operators)
-        .map_err(|error| format!("operators' address {}: {error}", settings.operators))?;
+        .map_err(|error| format!("callers' address {}: {error}", settings.caller_address))?;
+    let operators = tiny_http::Server::http(settings.operator_address)
+        .map_err(|error| format!("operators' address {}: {error}", settings.operator_address))?;
     let files = jackdawpier_peer::TlsFiles {
         authority_file: settings.peer_tls.authority_file.clone(),
         certificate_file: settings.peer_tls.certificate_file.clone(),
         key_file: settings.peer_tls.key_file.clone(),
     };
-    let endpoint = PeerEndpoint::bind(settings.peers, &files).map_err(|error| error.to_string())?;
+    let endpoint =
+        PeerEndpoint::bind(settings.peer_address, &files).map_err(|error| error.to_string())?;
     let callers_address = callers.local_addr().map_err(|error| error.to_string())?;
     let operators_address =
         operators.server_addr().to_ip().ok_or("the operators' port has no IP address")?;
@@ -66,9 +67,9 @@
     let server = tokio::spawn(jackdawpier_http::serve(
         callers,
         jackdawpier_http::ServerLimits {
-            connections: limits.connections,
+            max_connections: limits.connections,
             read_timeout: limits.read_timeout,
-            body_bytes: limits.body_bytes,
+            max_body_bytes: limits.body_bytes,
         },
         CallerApi::new(&entry),
         stopping,
--- a/crates/jackdawpierd/src/instance_reader.rs
+++ b/crates/jackdawpierd/src/instance_reader.rs
@@ -13,9 +13,9 @@
 /// Timeouts of the platform's answers. There is none for the whole transfer, as the length of the
 /// list depends on the fleet.
 const CLIENT_LIMITS: ClientLimits = ClientLimits {
-    connect: Duration::from_millis(500),
-    silence: Duration::from_secs(1),
-    idle_connections: 1,
+    connect_timeout: Duration::from_millis(500),
+    io_timeout: Duration::from_secs(1),
+    max_idle_connections: 1,
 };
 const MAX_LIST_BYTES: u64 = 64 << 20;
 
--- a/crates/jackdawpierd/src/messages.rs
+++ b/crates/jackdawpierd/src/messages.rs
@@ -9,14 +9,14 @@
     trace::TraceContext,
 };
 use jackdawpier_peer::MAX_MESSAGE_BYTES;
-use jackdawpier_settings::rules::settings::message_size::MAX_CARRIED_BYTES;
+use jackdawpier_settings::rules::settings::message_size::MAX_PEER_PAYLOAD_BYTES;
 use serde::{Deserialize, Serialize};
 
 use crate::{capacity::WaveAction, demand::DemandMilli};
 
 /// Maximum size of a message without the body: path, names, content type and trace.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-const _: () = assert!(MAX_CARRIED_BYTES + MAX_HEAD_BYTES <= MAX_MESSAGE_BYTES);
+const _: () = assert!(MAX_PEER_PAYLOAD_BYTES + MAX_HEAD_BYTES <= MAX_MESSAGE_BYTES);
 
 /// A caller's request, as forwarded to the entry that decides on it.
 #[derive(Debug, Clone, Serialize, Deserialize)]
--- a/crates/jackdawpierd/src/service_state.rs
+++ b/crates/jackdawpierd/src/service_state.rs
@@ -20,7 +20,7 @@
     executors::ExecutorInfo,
     lost_shard::LostShardKeys,
 };
-use jackdawpier_settings::declaration::{Class, Kind};
+use jackdawpier_settings::declaration::{Class, WorkKind};
 use tokio::sync::oneshot;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -88,7 +88,7 @@
             return Vec::new();
         };
         let is_idempotent = class.idempotent || work.method == "GET" || work.method == "HEAD";
-        let (is_job, is_job_idempotent) = (class.kind == Kind::Refresh, class.idempotent);
+        let (is_job, is_job_idempotent) = (class.kind == WorkKind::Refresh, class.idempotent);
         let refusal = if is_job || work.key.is_some() { self.durable_refusal() } else { None };
         if let Some(refusal) = refusal {
             let _ = reply.send(refusal);
