--- a/crates/jackdawpier_entry/src/owner.rs
+++ b/crates/jackdawpier_entry/src/owner.rs
@@ -110,10 +110,10 @@
     pub(crate) fleet: Rc<RefCell<Fleet>>,
     pub(crate) active: ActiveConfiguration,
     pub(crate) events: Events,
-    /// Notified of events that may let tasks start.
-    pub(crate) changed: Notify,
-    /// Notified of changes to write to the store.
-    pub(crate) has_unwritten: Notify,
+    /// Notified of events that may let tasks start, so that the fleet ticks early.
+    pub(crate) tick_requested: Notify,
+    /// Notified when the fleet has changes to write to the store.
+    pub(crate) write_requested: Notify,
     /// Executors with a polling loop.
     pub(crate) polled_executors: RefCell<HashSet<ExecutorId>>,
     /// State that the polling loop and the orders of each executor share.
@@ -133,7 +133,7 @@
 
     /// Advances the fleet to the current time and executes its commands.
     pub(crate) fn tick(self: &Rc<Self>) {
-        self.configure();
+        self.apply_configuration();
         self.fleet.borrow_mut().tick(clock::now(), clock::wall_ms());
         self.execute_commands();
     }
@@ -149,7 +149,9 @@
                     owner.send_executor_command(command);
                 }
                 Command::Advise { task, executors } => {
-                    tokio::task::spawn_local(async move { owner.advise(task, executors).await });
+                    tokio::task::spawn_local(
+                        async move { owner.request_advice(task, executors).await },
+                    );
                 }
                 Command::Machine(order) => {
                     tokio::task::spawn_local(async move { owner.order_machine(order).await });
@@ -160,11 +162,11 @@
             }
         }
         if self.fleet.borrow().has_changes() {
-            self.has_unwritten.notify_one();
+            self.write_requested.notify_one();
         }
     }
 
-    fn configure(&self) {
+    fn apply_configuration(&self) {
         let Some(current) = self.active.get() else { return };
         let revision = Some(self.active.revision());
         if self.configured_revision.replace(revision) == revision {
@@ -178,7 +180,7 @@
     async fn tick_loop(self: Rc<Self>) {
         while self.is_valid() {
             // A timeout and a notification have the same effect.
-            let _ = tokio::time::timeout(MAX_TICK_INTERVAL, self.changed.notified()).await;
+            let _ = tokio::time::timeout(MAX_TICK_INTERVAL, self.tick_requested.notified()).await;
             tokio::time::sleep(TICK_BATCH_DELAY).await;
             if self.is_valid() {
                 self.tick();
@@ -305,8 +307,8 @@
         fleet: fleet.clone(),
         active: active.clone(),
         events: events.clone(),
-        changed: Notify::new(),
-        has_unwritten: Notify::new(),
+        tick_requested: Notify::new(),
+        write_requested: Notify::new(),
         polled_executors: RefCell::new(HashSet::new()),
         sessions: RefCell::new(HashMap::new()),
         order_note: order_note::OrderNote::default(),
--- a/crates/jackdawpier_entry/src/owner/commits.rs
+++ b/crates/jackdawpier_entry/src/owner/commits.rs
@@ -86,9 +86,11 @@
         while self.is_valid() {
             if !self.fleet.borrow().has_changes() {
                 // The timeout lets the loop notice the end of the term.
-                let _ =
-                    tokio::time::timeout(Duration::from_millis(200), self.has_unwritten.notified())
-                        .await;
+                let _ = tokio::time::timeout(
+                    Duration::from_millis(200),
+                    self.write_requested.notified(),
+                )
+                .await;
                 continue;
             }
             if in_flight.is_full() {
@@ -122,7 +124,7 @@
         match outcome {
             WriteOutcome::Durable(revisions) => {
                 self.fleet.borrow_mut().batch_durable(clock::now(), &batch, &revisions);
-                self.log_finished();
+                self.log_ended_jobs();
                 if self.is_valid() {
                     self.execute_commands();
                     self.wake_acknowledgeable();
@@ -135,7 +137,7 @@
         }
     }
 
-    fn log_finished(&self) {
+    fn log_ended_jobs(&self) {
         for job in self.fleet.borrow_mut().take_finished() {
             let fields = json!({
                 "job": *job.job,
--- a/crates/jackdawpier_entry/src/owner/executors.rs
+++ b/crates/jackdawpier_entry/src/owner/executors.rs
@@ -55,10 +55,10 @@
     pub(super) async fn follow_executors(self: Rc<Self>) {
         let mut watch = RegistryWatch::default();
         while self.is_valid() {
-            match watch.follow(&self).await {
+            match watch.next_changes(&self).await {
                 Ok(changes) if !changes.is_empty() && self.is_valid() => {
                     changes.into_iter().for_each(|change| self.apply_registry_change(change));
-                    self.changed.notify_one();
+                    self.tick_requested.notify_one();
                 }
                 Ok(_) => {}
                 Err(error) => {
@@ -94,7 +94,7 @@
         }
     }
 
-    fn target(&self, executor: &ExecutorId) -> Option<OrderTarget> {
+    fn order_target(&self, executor: &ExecutorId) -> Option<OrderTarget> {
         let address = self.fleet.borrow().executor_address(executor)?;
         Some(OrderTarget { executor: executor.clone(), address, fence: self.term.fence })
     }
@@ -105,7 +105,7 @@
         while self.is_valid() {
             let directive = self.fleet.borrow_mut().hold_directive(clock::now(), &id);
             let Some(directive) = directive else { break };
-            let Some(target) = self.target(&id) else {
+            let Some(target) = self.order_target(&id) else {
                 tokio::time::sleep(HOLD_RETRY_DELAY).await;
                 continue;
             };
@@ -139,7 +139,7 @@
                     let stops = self.fleet.borrow_mut().repeat_stops(now, &id);
                     stops.into_iter().for_each(|stop| self.clone().send_executor_command(stop));
                     self.execute_commands();
-                    self.changed.notify_one();
+                    self.tick_requested.notify_one();
                 }
                 Err(CallError::Fenced) => {
                     self.events.emit("fenced", json!({ "executor": *id }));
@@ -205,7 +205,7 @@
             }
             Command::Pace { executor, task, run, percent } => {
                 tokio::task::spawn_local(async move {
-                    if let Some(target) = self.target(&executor) {
+                    if let Some(target) = self.order_target(&executor) {
                         let is_accepted = self.platform.pace(&target, &task, run, percent).await;
                         let fields = json!({ "executor": *executor, "task": task.to_string(), "percent": percent, "taken": is_accepted });
                         self.events.emit("pace", fields);
@@ -249,7 +249,8 @@
                 break;
             }
             let lease = self.fleet.borrow_mut().order_lease(clock::now(), &start.executor);
-            let (Some(target), Some(lease_until)) = (self.target(&start.executor), lease) else {
+            let (Some(target), Some(lease_until)) = (self.order_target(&start.executor), lease)
+            else {
                 outcome = StartOutcome::Unavailable;
                 break;
             };
@@ -284,7 +285,7 @@
         );
         self.execute_commands();
         if outcome != StartOutcome::Started {
-            self.changed.notify_one();
+            self.tick_requested.notify_one();
         }
     }
 
@@ -303,7 +304,7 @@
                 return;
             }
             let may_send = self.fleet.borrow().may_send_stop(clock::now(), &executor, &task, run);
-            let Some(target) = self.target(&executor).filter(|_| may_send) else { break };
+            let Some(target) = self.order_target(&executor).filter(|_| may_send) else { break };
             let evidence = self.fleet.borrow().stop_evidence(clock::now(), &task, run);
             outcome = self.platform.stop(&target, &task, run).await;
             let mut fields = json!({ "executor": *executor, "task": task.to_string(), "run": run, "why": format!("{reason:?}"), "end": format!("{outcome:?}") });
@@ -318,7 +319,7 @@
         self.fleet.borrow_mut().stop_ended(clock::now(), &task, run, outcome);
     }
 
-    pub(super) async fn advise(self: Rc<Self>, task: TaskKey, executors: Vec<ExecutorId>) {
+    pub(super) async fn request_advice(self: Rc<Self>, task: TaskKey, executors: Vec<ExecutorId>) {
         match self.platform.advise(&task, &executors).await {
             Ok(approval) => {
                 let fields =
@@ -330,7 +331,7 @@
                     approval.approved,
                     approval.valid_for,
                 );
-                self.changed.notify_one();
+                self.tick_requested.notify_one();
             }
             Err(error) => {
                 let fields = json!({ "task": task.to_string(), "why": error.to_string() });
--- a/crates/jackdawpier_entry/src/owner/intake.rs
+++ b/crates/jackdawpier_entry/src/owner/intake.rs
@@ -5,7 +5,7 @@
 use jackdawpier_kernel::ids::Revision;
 use serde_json::json;
 
-use super::{Owner, takeover::Source};
+use super::{Owner, takeover::JobSource};
 use crate::{
     clock, keys, link, pending,
     ports::{CallError, Change, Platform, Transaction},
@@ -48,8 +48,8 @@
                         })
                         .collect();
                     if !items.is_empty() && self.is_valid() {
-                        self.ingest(Source::Watch, items, &mut HashMap::new());
-                        self.changed.notify_one();
+                        self.ingest(JobSource::Watch, items, &mut HashMap::new());
+                        self.tick_requested.notify_one();
                     }
                 }
                 Err(CallError::HistoryCompacted) => {
@@ -89,12 +89,12 @@
         let bytes: usize = listing.items.iter().map(|item| item.value.len()).sum();
         let max_interval = list_interval(bytes, self.settings.link_mbps);
         self.intake_listings.borrow_mut().set_max_interval(max_interval);
-        let found = self.ingest(Source::Listing, listing.items, &mut HashMap::new());
+        let found = self.ingest(JobSource::Listing, listing.items, &mut HashMap::new());
         self.intake_listings.borrow_mut().on_listed(clock::now(), found);
         if found > 0 {
             self.events.emit("listing_found", json!({ "jobs": found }));
         }
-        self.changed.notify_one();
+        self.tick_requested.notify_one();
         Some(listing.revision)
     }
 
--- a/crates/jackdawpier_entry/src/owner/machines.rs
+++ b/crates/jackdawpier_entry/src/owner/machines.rs
@@ -45,7 +45,7 @@
             self.list_waves().await;
             if self.is_valid() {
                 self.execute_commands();
-                self.changed.notify_one();
+                self.tick_requested.notify_one();
             }
             tokio::time::sleep(pause).await;
         }
@@ -102,7 +102,7 @@
         if self.is_valid() {
             self.fleet.borrow_mut().machine_order_ended(clock::now(), &order, outcome);
             self.execute_commands();
-            self.changed.notify_one();
+            self.tick_requested.notify_one();
         }
     }
 
--- a/crates/jackdawpier_entry/src/owner/registry.rs
+++ b/crates/jackdawpier_entry/src/owner/registry.rs
@@ -36,7 +36,7 @@
 
 impl RegistryWatch {
     /// Waits for changes, at most [`WATCH_WAIT`], and returns them.
-    pub(super) async fn follow<P: Platform>(
+    pub(super) async fn next_changes<P: Platform>(
         &mut self,
         owner: &Owner<P>,
     ) -> CallResult<Vec<RegistryChange>> {
@@ -47,12 +47,12 @@
         }
         let prefix = owner.platform.executor_prefix();
         match owner.platform.watch(prefix, self.revision, WATCH_WAIT).await {
-            Ok(news) => {
-                self.revision = news.revision;
-                if !news.changes.is_empty() {
+            Ok(answer) => {
+                self.revision = answer.revision;
+                if !answer.changes.is_empty() {
                     self.last_activity_at = clock::now();
                 }
-                let changes = news.changes.into_iter();
+                let changes = answer.changes.into_iter();
                 Ok(changes.filter_map(|change| self.apply(owner, change)).collect())
             }
             Err(CallError::HistoryCompacted) => {
--- a/crates/jackdawpier_entry/src/owner/takeover.rs
+++ b/crates/jackdawpier_entry/src/owner/takeover.rs
@@ -18,14 +18,14 @@
 
 /// How the owner received a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Source {
+pub(super) enum JobSource {
     /// From the watch, on arrival.
     Watch,
     /// From a listing, after the watch missed it or no entry owned the fleet.
     Listing,
 }
 
-impl Source {
+impl JobSource {
     /// Returns when a job arrived. A job from the watch has arrived now, whatever another entry's wall clock says.
     fn arrived_at(self, now: Now, wall_ms: u64, submission: &Submission) -> Now {
         match self {
@@ -56,7 +56,7 @@
             }
         }
         let jobs = intake.items.len();
-        self.ingest(Source::Listing, intake.items, &mut records_by_job);
+        self.ingest(JobSource::Listing, intake.items, &mut records_by_job);
         for (job, (record, _)) in records_by_job {
             if record.outcome.is_none() {
                 self.log_unreadable(&keys::submission(&job), "missing, though its job isn't over");
@@ -90,7 +90,7 @@
     /// that weren't known.
     pub(super) fn ingest(
         &self,
-        source: Source,
+        source: JobSource,
         items: Vec<crate::ports::Item>,
         records_by_job: &mut HashMap<String, (JobRecord, Revision)>,
     ) -> usize {
--- a/crates/jackdawpier_entry/src/ownership.rs
+++ b/crates/jackdawpier_entry/src/ownership.rs
@@ -156,7 +156,7 @@
     }
     let expected = match &current {
         None => 0,
-        Some(item) if may_replace(&item.value, candidate) => item.revision,
+        Some(item) if may_take_over(&item.value, candidate) => item.revision,
         Some(_) => return Ok(None),
     };
     let asked_at = clock::now();
@@ -192,7 +192,7 @@
 
 /// Whether the owner is a previous process of this entry, which has certainly ended, or has too little
 /// processor while this entry has enough. Its term then ends as if the key had been removed.
-fn may_replace(value: &[u8], candidate: &Candidate) -> bool {
+fn may_take_over(value: &[u8], candidate: &Candidate) -> bool {
     serde_json::from_slice::<OwnerValue>(value).is_ok_and(|owner| {
         let is_previous_incarnation =
             owner.entry == candidate.entry && owner.incarnation != candidate.incarnation;
--- a/crates/jackdawpier_entry/tests/support/fake.rs
+++ b/crates/jackdawpier_entry/tests/support/fake.rs
@@ -103,7 +103,7 @@
 /// An unreadable value of the registry or of a wave.
 pub const UNREADABLE: &[u8] = b"unreadable";
 
-fn machine(number: usize) -> MachineId {
+fn machine_id(number: usize) -> MachineId {
     format!("machine-{number}").as_str().into()
 }
 
@@ -250,7 +250,7 @@
         Ok(Listing { items: items.collect(), revision: state.revision })
     }
 
-    fn expire(&self) {
+    fn expire_leases(&self) {
         let mut state = self.0.borrow_mut();
         let now = clock::now();
         let ended: Vec<LeaseId> = state
@@ -266,7 +266,7 @@
     }
 
     fn apply(&self, transaction: &Transaction) -> TransactionOutcome {
-        self.expire();
+        self.expire_leases();
         let mut state = self.0.borrow_mut();
         let holds = transaction.expect.iter().all(|(key, revision)| {
             state.items.get(key).map_or(0, |stored| stored.revision) == *revision
@@ -327,7 +327,7 @@
         self.half_round_trip().await;
         self.check_up()?;
         self.check_rate()?;
-        self.expire();
+        self.expire_leases();
         let item = self.0.borrow().items.get(key).map(|stored| Item {
             key: key.to_owned(),
             value: stored.value.clone(),
@@ -416,7 +416,7 @@
     async fn renew_lease(&self, lease: LeaseId) -> CallResult<()> {
         self.half_round_trip().await;
         self.check_up()?;
-        self.expire();
+        self.expire_leases();
         {
             let mut state = self.0.borrow_mut();
             let (until, ttl) = state.leases.get_mut(&lease).ok_or(CallError::LeaseEnded)?;
--- a/crates/jackdawpier_entry/tests/support/fake/outside.rs
+++ b/crates/jackdawpier_entry/tests/support/fake/outside.rs
@@ -19,7 +19,7 @@
 };
 use jackdawpier_kernel::ids::{AccountName, ExecutorId};
 
-use super::{super::submission, CONFIGURATION, EXECUTOR, Fake, QUEUE, UNREADABLE, machine};
+use super::{super::submission, CONFIGURATION, EXECUTOR, Fake, QUEUE, UNREADABLE, machine_id};
 
 impl ExecutorControl for Fake {
     async fn start(&self, _target: &OrderTarget, order: &StartOrder) -> StartOutcome {
@@ -62,7 +62,7 @@
 impl MachineControl for Fake {
     async fn machines(&self) -> CallResult<Vec<MachineInfo>> {
         let info = |number| MachineInfo {
-            id: machine(number),
+            id: machine_id(number),
             pool: "service".into(),
             state: MachineState::Up,
             executor: (number == 1).then(|| EXECUTOR.into()),
@@ -123,7 +123,7 @@
         }
         Ok(Wave {
             number: 1,
-            machines: (1..=self.0.borrow().machines_due.max(1)).map(machine).collect(),
+            machines: (1..=self.0.borrow().machines_due.max(1)).map(machine_id).collect(),
             within: Duration::from_secs(20),
             max_away: self.0.borrow().machines_due.max(1),
         })
