--- a/crates/jackdawpier_entry/src/freshness.rs
+++ b/crates/jackdawpier_entry/src/freshness.rs
@@ -59,7 +59,7 @@
         let outcome = prover.step(is_wanted).await;
         let is_proved = active.proof().is_valid(clock::now());
         if is_proved != was_proved {
-            report(is_proved, &outcome, &active, &events);
+            log_proof_change(is_proved, &outcome, &active, &events);
             was_proved = is_proved;
         }
         tokio::time::sleep(pause_after(&outcome)).await;
@@ -75,7 +75,7 @@
 }
 
 /// Logs that keys have become verifiable or unverifiable.
-fn report(
+fn log_proof_change(
     is_proved: bool,
     outcome: &CallResult<()>,
     active: &ActiveConfiguration,
--- a/crates/jackdawpier_entry/src/owner.rs
+++ b/crates/jackdawpier_entry/src/owner.rs
@@ -87,8 +87,8 @@
     }
 
     fn with<T>(&self, read: impl FnOnce(&Fleet) -> T) -> Option<T> {
-        let cell = self.0.borrow();
-        let (term, fleet) = cell.as_ref()?;
+        let owned = self.0.borrow();
+        let (term, fleet) = owned.as_ref()?;
         term.is_valid().then(|| read(&fleet.borrow()))
     }
 
@@ -257,7 +257,7 @@
     platform: P,
     settings: Rc<EntrySettings>,
     active: ActiveConfiguration,
-    cell: FleetHandle,
+    handle: FleetHandle,
     events: Events,
     incarnation: String,
     speed: MachineSpeed,
@@ -277,12 +277,12 @@
         if let Ok(Some(term)) = acquired {
             events.emit("owner", json!({ "fence": term.fence }));
             let fence = term.fence;
-            run_term(&platform, &settings, &active, &cell, &events, &speed, term.clone()).await;
+            run_term(&platform, &settings, &active, &handle, &events, &speed, term.clone()).await;
             let term_platform = platform.clone();
             tokio::task::spawn_local(
                 async move { term.release_with_retries(&term_platform).await },
             );
-            cell.0.borrow_mut().take();
+            handle.0.borrow_mut().take();
             events.metrics().set_owner(false);
             events.emit("owner_no_more", json!({ "fence": fence }));
         }
@@ -294,7 +294,7 @@
     platform: &P,
     settings: &Rc<EntrySettings>,
     active: &ActiveConfiguration,
-    cell: &FleetHandle,
+    handle: &FleetHandle,
     events: &Events,
     speed: &MachineSpeed,
     term: Term,
@@ -321,7 +321,7 @@
     tokio::task::spawn_local(owner.clone().renew_loop());
     let Some(watch_from) = owner.take_over().await else { return };
     owner.recover_machine_orders().await;
-    *cell.0.borrow_mut() = Some((term, fleet));
+    *handle.0.borrow_mut() = Some((term, fleet));
     events.metrics().set_owner(true);
     let started_at: Now = clock::now();
     tokio::task::spawn_local(owner.clone().follow_intake(watch_from));
--- a/crates/jackdawpier_entry/src/owner/takeover.rs
+++ b/crates/jackdawpier_entry/src/owner/takeover.rs
@@ -59,7 +59,10 @@
         self.ingest(JobSource::Listing, intake.items, &mut records_by_job);
         for (job, (record, _)) in records_by_job {
             if record.outcome.is_none() {
-                self.log_unreadable(&keys::submission(&job), "missing, though its job isn't over");
+                self.log_unreadable(
+                    &keys::submission(&job),
+                    "missing, though its job hasn't ended",
+                );
                 continue;
             }
             let (now, wall_ms) = (clock::now(), clock::wall_ms());
--- a/crates/jackdawpier_entry/src/run.rs
+++ b/crates/jackdawpier_entry/src/run.rs
@@ -49,7 +49,7 @@
     events.emit("started", json!({ "life": incarnation, "callers": settings.callers.to_string() }));
     let active = ActiveConfiguration::new(settings.revocation_deadline);
     let intake = Intake::default();
-    let cell = FleetHandle::default();
+    let handle = FleetHandle::default();
     let (stop, stopping) = watch::channel(false);
     let in_flight = InFlight::default();
 
@@ -68,7 +68,7 @@
         platform.clone(),
         settings.clone(),
         active.clone(),
-        cell.clone(),
+        handle.clone(),
         events.clone(),
         incarnation,
         MachineSpeed::new(speed::measure),
@@ -78,7 +78,7 @@
         platform: platform.clone(),
         active: active.clone(),
         intake,
-        owner: cell.clone(),
+        owner: handle.clone(),
         pending: PendingCounter::default(),
         events: events.clone(),
     });
@@ -128,7 +128,7 @@
     // Tells the servers to stop before the ownership is released.
     let _ = stop.send(true);
     owning.abort();
-    cell.release(&platform).await;
+    handle.release(&platform).await;
     let end_by = asked_at + settings.shutdown_grace.saturating_sub(KILL_MARGIN);
     let report = || events.emit("stopped", json!({ "in_flight": in_flight.count() }));
     drain(&in_flight, asked_at + BALANCER_LAG, end_by, report).await;
--- a/crates/jackdawpier_entry/tests/ended_jobs.rs
+++ b/crates/jackdawpier_entry/tests/ended_jobs.rs
@@ -26,7 +26,7 @@
     run(async {
         let fake = Fake::default();
         let intake = start_intake(&fake);
-        let (_cell, _owning) = start_owner(&fake, "a");
+        let (_handle, _owning) = start_owner(&fake, "a");
         run_until_ended(&fake, &intake).await;
         assert!(fake.value(&keys::submission("job")).is_none());
     });
@@ -38,7 +38,7 @@
     run(async {
         let fake = Fake::default();
         let intake = start_intake(&fake);
-        let (_cell, _owning) = start_owner(&fake, "a");
+        let (_handle, _owning) = start_owner(&fake, "a");
         run_until_ended(&fake, &intake).await;
         let starts = fake.starts().len();
         assert_eq!(submit(&intake).await, Acceptance::Accepted);
@@ -71,10 +71,10 @@
     run(async {
         let fake = Fake::default();
         let intake = start_intake(&fake);
-        let (cell, _owning) = start_owner(&fake, "a");
+        let (handle, _owning) = start_owner(&fake, "a");
         assert!(wait_until(|| fake.value(keys::OWNER).is_some()).await);
         assert_eq!(submit(&intake).await, Acceptance::Accepted);
-        let entry = Entry::start_with_owner(&fake, None, cell).await;
+        let entry = Entry::start_with_owner(&fake, None, handle).await;
         fake.set_delay(Duration::from_millis(300));
         assert!(wait_until(|| outcome_of(&fake) == Some(JobOutcome::Completed)).await);
         let answer = entry.request("GET", "/a/job", None).await;
--- a/crates/jackdawpier_entry/tests/key_proof.rs
+++ b/crates/jackdawpier_entry/tests/key_proof.rs
@@ -13,12 +13,12 @@
 use support::{Fake, WriteFault, run, wait_until};
 
 const KEY: &str = "configuration";
-const HOLDS_FOR: Duration = Duration::from_millis(2500);
+const VALID_FOR: Duration = Duration::from_millis(2500);
 
 /// Starts an entry that proves the configuration, and waits until the document is in force.
 async fn start(fake: &Fake, document: &str) -> ActiveConfiguration {
     fake.put(KEY, document.as_bytes());
-    let active = ActiveConfiguration::new(Some(HOLDS_FOR));
+    let active = ActiveConfiguration::new(Some(VALID_FOR));
     tokio::task::spawn_local(follow(fake.clone(), active.clone(), Events::new("a")));
     tokio::task::spawn_local(prove_configuration(fake.clone(), active.clone(), Events::new("a")));
     assert!(wait_until(|| active.get().is_some()).await);
@@ -62,7 +62,7 @@
         let fake = Fake::default();
         let active = start(&fake, "1 standing:shop").await;
         fake.set_down(true);
-        tokio::time::sleep(HOLDS_FOR).await;
+        tokio::time::sleep(VALID_FOR).await;
         assert!(!active.can_verify_keys(clock::now()));
         fake.set_down(false);
         let since = clock::now();
--- a/crates/jackdawpier_entry/tests/order_note.rs
+++ b/crates/jackdawpier_entry/tests/order_note.rs
@@ -13,7 +13,7 @@
     run(async {
         let fake = Fake::default();
         fake.request_maintenance();
-        let (_cell, _owning) = start_owner(&fake, "a");
+        let (_handle, _owning) = start_owner(&fake, "a");
         assert!(wait_until(|| !fake.machine_orders().is_empty()).await);
         for (machine, note) in fake.machine_orders() {
             assert!(note.is_some_and(|note| note.contains(&*machine)), "{machine} isn't recorded");
@@ -26,7 +26,7 @@
 fn unanswered_write() {
     run(async {
         let fake = Fake::default();
-        let (_cell, _owning) = start_owner(&fake, "a");
+        let (_handle, _owning) = start_owner(&fake, "a");
         assert!(wait_until(|| fake.value(keys::OWNER).is_some()).await);
         fake.fail_next_writes(&[WriteFault::Lost; 400]);
         fake.request_maintenance();
@@ -41,7 +41,7 @@
 fn occupied_while_waiting() {
     run(async {
         let fake = Fake::default();
-        let (_cell, _owning) = start_owner(&fake, "a");
+        let (_handle, _owning) = start_owner(&fake, "a");
         assert!(wait_until(|| fake.value(keys::OWNER).is_some()).await);
         tokio::time::sleep(Duration::from_millis(500)).await;
         fake.fail_next_writes(&[WriteFault::Hangs; 2]);
@@ -62,7 +62,7 @@
         let fake = Fake::default();
         fake.request_maintenance();
         fake.put(keys::MACHINE_ORDERS, br#"[{"machine":"machine-1","age_ms":0}]"#);
-        let (_cell, _owning) = start_owner(&fake, "a");
+        let (_handle, _owning) = start_owner(&fake, "a");
         tokio::time::sleep(Duration::from_millis(2500)).await;
         assert!(fake.machine_orders().is_empty());
         assert!(wait_until(|| !fake.machine_orders().is_empty()).await);
@@ -76,7 +76,7 @@
     run(async {
         let fake = Fake::default();
         fake.request_maintenance();
-        let (_cell, _owning) = start_owner(&fake, "a");
+        let (_handle, _owning) = start_owner(&fake, "a");
         assert!(wait_until(|| !fake.machine_orders().is_empty()).await);
         let is_empty = || fake.value(keys::MACHINE_ORDERS).is_some_and(|note| note == b"[]");
         assert!(!is_empty());
@@ -89,7 +89,7 @@
 fn ended_term() {
     run(async {
         let fake = Fake::default();
-        let (_cell, _owning) = start_owner(&fake, "a");
+        let (_handle, _owning) = start_owner(&fake, "a");
         assert!(wait_until(|| fake.value(keys::OWNER).is_some()).await);
         // The first write of the note delays the others, and the fleet is lost meanwhile.
         fake.fail_next_writes(&[WriteFault::Hangs; 4]);
--- a/crates/jackdawpier_entry/tests/owner.rs
+++ b/crates/jackdawpier_entry/tests/owner.rs
@@ -14,10 +14,10 @@
 fn completed_job() {
     run(async {
         let fake = Fake::default();
-        let (cell, _owning) = start_owner(&fake, "a");
+        let (handle, _owning) = start_owner(&fake, "a");
         put_job(&fake, "j");
         let completed = Some(JobView::Over(JobOutcome::Completed));
-        assert!(wait_until(|| cell.view("j") == completed).await);
+        assert!(wait_until(|| handle.view("j") == completed).await);
         assert_eq!(outcome(&fake, "j"), Some(JobOutcome::Completed));
         assert_eq!(fake.starts().len(), 2);
     });
@@ -27,7 +27,7 @@
 fn failed_writes() {
     run(async {
         let fake = Fake::default();
-        let (_cell, _owning) = start_owner(&fake, "a");
+        let (_handle, _owning) = start_owner(&fake, "a");
         assert!(wait_until(|| fake.value(keys::OWNER).is_some()).await);
         let fates = [
             WriteFault::AnswerLost,
@@ -47,11 +47,11 @@
 fn after_takeover() {
     run(async {
         let fake = Fake::default();
-        let (cell, owning) = start_owner(&fake, "a");
+        let (handle, owning) = start_owner(&fake, "a");
         put_job(&fake, "j");
         assert!(wait_until(|| outcome(&fake, "j").is_some()).await);
         owning.abort();
-        cell.release(&fake).await;
+        handle.release(&fake).await;
         let (next, _owning) = start_owner(&fake, "b");
         put_job(&fake, "k");
         assert!(wait_until(|| outcome(&fake, "k").is_some()).await);
@@ -66,7 +66,7 @@
         let fake = Fake::default();
         put_job(&fake, "j");
         fake.put(&keys::cancellation("j"), b"{}");
-        let (_cell, _owning) = start_owner(&fake, "a");
+        let (_handle, _owning) = start_owner(&fake, "a");
         assert!(wait_until(|| outcome(&fake, "j") == Some(JobOutcome::Cancelled)).await);
         assert!(fake.starts().is_empty());
     });
@@ -111,7 +111,7 @@
 fn stalled_watch() {
     run(async {
         let fake = Fake::default();
-        let (cell, _owning) = start_owner(&fake, "a");
+        let (handle, _owning) = start_owner(&fake, "a");
         assert!(wait_until(|| fake.value(keys::OWNER).is_some()).await);
         for number in 0..40 {
             put_job(&fake, &format!("before-{number}"));
@@ -122,7 +122,7 @@
             put_job(&fake, &format!("missed-{number}"));
         }
         tokio::time::sleep(Duration::from_millis(900)).await;
-        let known = (0..10).filter(|number| cell.view(&format!("missed-{number}")).is_some());
+        let known = (0..10).filter(|number| handle.view(&format!("missed-{number}")).is_some());
         assert_eq!(known.count(), 10);
     });
 }
@@ -133,7 +133,7 @@
 fn slow_store_burst() {
     run(async {
         let fake = Fake::default();
-        let (_cell, _owning) = start_owner(&fake, "a");
+        let (_handle, _owning) = start_owner(&fake, "a");
         put_job(&fake, "before");
         assert!(wait_until(|| outcome(&fake, "before").is_some()).await);
         fake.set_delay(Duration::from_millis(320));
--- a/crates/jackdawpier_entry/tests/ownership.rs
+++ b/crates/jackdawpier_entry/tests/ownership.rs
@@ -187,14 +187,14 @@
         active.adopt_if_newer(configuration(1), 1);
         let entries = ["a", "b", "c"].map(|entry| {
             let settings = Rc::new(EntrySettings { cpu_share: 0.12, ..settings(entry) });
-            let (cell, events) = (FleetHandle::default(), Events::new(entry));
+            let (handle, events) = (FleetHandle::default(), Events::new(entry));
             let (fake, active, incarnation) =
                 (fake.clone(), active.clone(), "incarnation".to_owned());
             let owning = compete_for_ownership(
                 fake,
                 settings,
                 active,
-                cell,
+                handle,
                 events,
                 incarnation,
                 steady_speed(),
@@ -215,7 +215,7 @@
 fn slow_store() {
     run(async {
         let fake = Fake::default();
-        let (_cell, _owning) = start_owner(&fake, "a");
+        let (_handle, _owning) = start_owner(&fake, "a");
         assert!(wait_until(|| fake.value(keys::OWNER).is_some()).await);
         let term = fake.value(keys::OWNER);
         fake.set_delay(Duration::from_millis(600));
@@ -237,7 +237,7 @@
 fn paused_lease() {
     run(async {
         let fake = Fake::default();
-        let (_cell, _owning) = start_owner(&fake, "a");
+        let (_handle, _owning) = start_owner(&fake, "a");
         assert!(wait_until(|| fake.value(keys::OWNER).is_some()).await);
         let first = fake.revision(keys::OWNER);
         fake.pause_store(Duration::from_millis(2200)).await;
--- a/crates/jackdawpier_entry/tests/registry.rs
+++ b/crates/jackdawpier_entry/tests/registry.rs
@@ -16,7 +16,7 @@
 fn unreadable_entry() {
     run(async {
         let fake = Fake::default();
-        let (_cell, _owning) = start_owner(&fake, "a");
+        let (_handle, _owning) = start_owner(&fake, "a");
         put_job(&fake, "before");
         assert!(wait_until(|| outcome(&fake, "before").is_some()).await);
         fake.put(REGISTRATION, UNREADABLE);
@@ -35,7 +35,7 @@
     run(async {
         let fake = Fake::default();
         fake.put("executors/foreign", UNREADABLE);
-        let (_cell, _owning) = start_owner(&fake, "a");
+        let (_handle, _owning) = start_owner(&fake, "a");
         put_job(&fake, "j");
         assert!(wait_until(|| outcome(&fake, "j") == Some(JobOutcome::Completed)).await);
     });
@@ -47,7 +47,7 @@
 fn stalled_watch() {
     run(async {
         let fake = Fake::default();
-        let (_cell, _owning) = start_owner(&fake, "a");
+        let (_handle, _owning) = start_owner(&fake, "a");
         put_job(&fake, "before");
         assert!(wait_until(|| outcome(&fake, "before").is_some()).await);
         fake.stall_watches(true);
@@ -67,7 +67,7 @@
     run(async {
         let fake = Fake::default();
         fake.set_list_delay(Duration::from_millis(1100));
-        let (_cell, _owning) = start_owner(&fake, "a");
+        let (_handle, _owning) = start_owner(&fake, "a");
         assert!(wait_until(|| fake.listings_of("executors/") > 0).await);
         let until = clock::now() + Duration::from_secs(7);
         while clock::now() < until {
--- a/crates/jackdawpier_entry/tests/shared_proof.rs
+++ b/crates/jackdawpier_entry/tests/shared_proof.rs
@@ -17,7 +17,7 @@
 use support::{CONFIGURATION, Fake, WriteFault, run, wait_until};
 use tokio::task::JoinHandle;
 
-const HOLDS_FOR: Duration = Duration::from_secs(5);
+const VALID_FOR: Duration = Duration::from_secs(5);
 const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 struct Prover {
@@ -75,7 +75,7 @@
     run(async {
         let fake = Fake::default();
         fake.set_delay(Duration::from_millis(6));
-        let provers = start(&fake, 40, HOLDS_FOR).await;
+        let provers = start(&fake, 40, VALID_FOR).await;
         let before = fake.commits();
         assert_all_prove(&provers, s(6)).await;
         let writes = fake.commits() - before;
@@ -124,7 +124,7 @@
     shared.on_read(s(1), Some(&note(5, 3)));
     let reading = shared.on_read(s(11), Some(&note(9, 3)));
     let Reading::Confirmed { at, .. } = reading else { panic!("{reading:?}") };
-    let proof = Proof { asked_at: Some(at), valid_for: Some(HOLDS_FOR) };
+    let proof = Proof { asked_at: Some(at), valid_for: Some(VALID_FOR) };
     assert!(!proof.is_valid(s(11)));
 }
 
@@ -152,7 +152,7 @@
 fn stopped_writers() {
     run(async {
         let fake = Fake::default();
-        let mut provers = start(&fake, 5, HOLDS_FOR).await;
+        let mut provers = start(&fake, 5, VALID_FOR).await;
         while provers.len() > 1 {
             assert_all_prove(&provers, Duration::from_millis(1500)).await;
             provers.remove(0).proving.abort();
@@ -166,7 +166,7 @@
 fn lost_answers() {
     run(async {
         let fake = Fake::default();
-        let provers = start(&fake, 5, HOLDS_FOR).await;
+        let provers = start(&fake, 5, VALID_FOR).await;
         fake.fail_next_writes(&[WriteFault::AnswerLost; 100]);
         assert_all_prove(&provers, s(6)).await;
     });
@@ -177,7 +177,7 @@
 fn refused_writes() {
     run(async {
         let fake = Fake::default();
-        let provers = start(&fake, 10, HOLDS_FOR).await;
+        let provers = start(&fake, 10, VALID_FOR).await;
         fake.fail_next_writes(&[WriteFault::Refused; 1000]);
         let before = fake.commits();
         assert_all_prove(&provers, s(6)).await;
@@ -191,7 +191,7 @@
 fn delayed_write() {
     run(async {
         let fake = Fake::default();
-        let provers = start(&fake, 1, HOLDS_FOR).await;
+        let provers = start(&fake, 1, VALID_FOR).await;
         fake.fail_next_writes(&[WriteFault::Delayed]);
         let before = fake.commits();
         assert!(wait_until(|| fake.commits() > before).await);
@@ -208,7 +208,7 @@
 fn stalled_watches() {
     run(async {
         let fake = Fake::default();
-        let provers = start(&fake, 10, HOLDS_FOR).await;
+        let provers = start(&fake, 10, VALID_FOR).await;
         fake.stall_watches(true);
         fake.put(CONFIGURATION, b"2 other:shop");
         let has_changed =
--- a/crates/jackdawpier_entry/tests/support/mod.rs
+++ b/crates/jackdawpier_entry/tests/support/mod.rs
@@ -97,18 +97,18 @@
     fake.put("executors/executor-1", b"");
     let active = ActiveConfiguration::default();
     active.adopt_if_newer(configuration(1), 1);
-    let (cell, events) = (FleetHandle::default(), Events::new(entry));
+    let (handle, events) = (FleetHandle::default(), Events::new(entry));
     let (settings, incarnation) = (Rc::new(settings(entry)), "incarnation".to_owned());
     let owning = compete_for_ownership(
         fake.clone(),
         settings,
         active,
-        cell.clone(),
+        handle.clone(),
         events,
         incarnation,
         speed,
     );
-    (cell, tokio::task::spawn_local(owning))
+    (handle, tokio::task::spawn_local(owning))
 }
 
 /// Waits for a condition for at most six seconds and returns whether it became true.
