--- a/crates/jackdawpierd/src/lib.rs
+++ b/crates/jackdawpierd/src/lib.rs
@@ -1,8 +1,7 @@
 //! The entry daemon: connects the decision logic to HTTP, quinn and the store.
 //!
 //! All daemons are identical and keep no durable state of their own. `docs/ARCHITECTURE.md`
-//! describes the path
-//! of a request, a configuration change and a job through these modules.
+//! describes the path of a request, a configuration change and a job through these modules.
 
 mod args;
 mod callers;
--- a/crates/jackdawpierd/tests/callers_port.rs
+++ b/crates/jackdawpierd/tests/callers_port.rs
@@ -1,4 +1,4 @@
-//! What callers and strangers may send, and what they can't reach.
+//! Valid and invalid requests at the callers' port, and untrusted peers.
 
 mod support;
 
@@ -11,20 +11,20 @@
 use jackdawpier_peer::{PeerEndpoint, PeerError, TlsFiles};
 use support::{Deployment, http, http_full, work};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn raw(daemon: &support::Daemon, text: &[u8]) -> String {
     let mut stream = TcpStream::connect(daemon.callers).expect("it listens");
-    stream.set_read_timeout(Some(PATIENCE)).expect("it can be set");
-    stream.write_all(text).expect("it is read");
+    stream.set_read_timeout(Some(READ_TIMEOUT)).expect("it can be set");
+    stream.write_all(text).expect("the daemon reads");
     let mut answer = vec![0; 4096];
     let count = stream.read(&mut answer).unwrap_or(0);
     String::from_utf8_lossy(&answer[..count]).into_owned()
 }
 
 #[test]
-fn kept_connections() {
-    let deployment = Deployment::new("kept-connections", 2, 0);
+fn reused_connections() {
+    let deployment = Deployment::new("reused-connections", 2, 0);
     let daemons = deployment.start_all(1);
     let body = work(1, 100);
     let head =
@@ -33,13 +33,13 @@
         let mut streams: Vec<TcpStream> =
             (0..32).map(|_| TcpStream::connect(daemons[0].callers).expect("it listens")).collect();
         for stream in &mut streams {
-            stream.set_read_timeout(Some(PATIENCE)).expect("it can be set");
-            stream.write_all(head.as_bytes()).expect("it is read");
-            stream.write_all(&body).expect("it is read");
+            stream.set_read_timeout(Some(READ_TIMEOUT)).expect("it can be set");
+            stream.write_all(head.as_bytes()).expect("the daemon reads");
+            stream.write_all(&body).expect("the daemon reads");
         }
         for stream in &mut streams {
             let mut answer = [0; 12];
-            stream.read_exact(&mut answer).expect("no kept connection stalls");
+            stream.read_exact(&mut answer).expect("no reused connection stalls");
             assert_eq!(&answer, b"HTTP/1.1 200");
         }
     }
@@ -52,18 +52,18 @@
     let slow: Vec<TcpStream> = (0..300)
         .map(|_| {
             let mut stream = TcpStream::connect(daemons[0].callers).expect("it listens");
-            stream.write_all(b"POST /render/x HTTP/1.1\r\nhost:").expect("it is read");
+            stream.write_all(b"POST /render/x HTTP/1.1\r\nhost:").expect("the daemon reads");
             stream
         })
         .collect();
     let answer = http("POST", daemons[0].callers, "/render/x", &[], &work(1, 100));
-    assert_eq!(answer.expect("others are served").0, 200);
+    assert_eq!(answer.expect("other callers are served").0, 200);
     for mut stream in slow {
-        stream.set_read_timeout(Some(PATIENCE)).expect("it can be set");
+        stream.set_read_timeout(Some(READ_TIMEOUT)).expect("it can be set");
         let mut rest = Vec::new();
         let ended = stream.read_to_end(&mut rest);
         let is_timeout = ended.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock);
-        assert!(!is_timeout, "a half-sent request is ended");
+        assert!(!is_timeout, "the connection of an incomplete request is closed");
     }
 }
 
@@ -73,11 +73,11 @@
     drop(deployment.start_all(1));
     let daemon = deployment.start("b", "limits: { connections: 4, read_timeout_ms: 500 }");
     support::wait_for("it to be ready", || daemon.is_ready());
-    let held: Vec<TcpStream> =
+    let connections: Vec<TcpStream> =
         (0..20).map(|_| TcpStream::connect(daemon.callers).expect("it listens")).collect();
-    drop(held);
+    drop(connections);
     let answer = http("POST", daemon.callers, "/render/x", &[], &work(1, 100));
-    let (status, body) = answer.expect("it takes callers again");
+    let (status, body) = answer.expect("it accepts callers again");
     assert_eq!(status, 200, "{body}");
 }
 
@@ -96,27 +96,31 @@
     assert_eq!(status("POST", "/render/x", &[("x-customer", long.as_str())], b""), 400);
     assert_eq!(status("POST", "/render/x", &[], &vec![b'x'; (1 << 20) + 1]), 413);
     for path in ["/metrics", "/v1/status", "/v1/apply", "/readyz"] {
-        assert_eq!(status("GET", path, &[], b""), 404, "operators have a port of their own");
+        assert_eq!(status("GET", path, &[], b""), 404, "operators have a separate port");
     }
     let head =
         format!("GET /render/x HTTP/1.1\r\nhost: x\r\nx-long: {}\r\n\r\n", "y".repeat(70_000));
     assert!(raw(&daemons[0], head.as_bytes()).starts_with("HTTP/1.1 431"));
     assert!(raw(&daemons[0], b"\x00\xff nonsense\r\n\r\n").starts_with("HTTP/1.1 400"));
-    assert_eq!(status("POST", "/render/x", &[], &work(1, 100)), 200, "nothing was harmed");
+    assert_eq!(
+        status("POST", "/render/x", &[], &work(1, 100)),
+        200,
+        "valid requests are still served"
+    );
 }
 
 #[test]
-fn strange_peer() {
-    let deployment = Deployment::new("strange-peer", 1, 0);
+fn untrusted_peer() {
+    let deployment = Deployment::new("untrusted-peer", 1, 0);
     let daemons = deployment.start_all(1);
-    let folder = deployment.file("strangers");
+    let folder = deployment.file("untrusted");
     jackdawpier_standin::keys::write_keys(&folder, &["x".to_owned()]).expect("it can be written");
     let own = |file: &str| deployment.file(file).display().to_string();
-    let strange = |file: &str| folder.join(file).display().to_string();
+    let untrusted = |file: &str| folder.join(file).display().to_string();
     let files = TlsFiles {
         authority_file: own("authority.pem"),
-        certificate_file: strange("x.pem"),
-        key_file: strange("x.key"),
+        certificate_file: untrusted("x.pem"),
+        key_file: untrusted("x.key"),
     };
     let runtime = tokio::runtime::Runtime::new().expect("a runtime can be built");
     runtime.block_on(async {
@@ -131,8 +135,8 @@
 }
 
 #[test]
-fn garbled_messages() {
-    let deployment = Deployment::new("garbled-messages", 1, 0);
+fn malformed_messages() {
+    let deployment = Deployment::new("malformed-messages", 1, 0);
     let daemons = deployment.start_all(1);
     let own = |file: &str| deployment.file(file).display().to_string();
     let files = TlsFiles {
@@ -148,15 +152,15 @@
             let garbage: Vec<u8> = (0..length).map(|at| (at * 31 + length * 17) as u8).collect();
             let limit = Duration::from_millis(200);
             let _: Result<u32, PeerError> =
-                endpoint.call(daemons[0].peers, &serde_bytes_like(garbage), limit).await;
+                endpoint.call(daemons[0].peers, &byte_pairs(garbage), limit).await;
         }
         endpoint.close().await;
     });
     let answer = http("POST", daemons[0].callers, "/render/x", &[], &work(1, 100));
-    assert_eq!(answer.expect("it answers").0, 200, "garbled messages of a peer harm nobody");
+    assert_eq!(answer.expect("it answers").0, 200, "malformed messages of a peer affect no caller");
 }
 
-/// Bytes as a tuple of themselves, so that no length stands in front of them.
-fn serde_bytes_like(bytes: Vec<u8>) -> Vec<(u8, u8)> {
+/// Pairs the bytes up, so that `postcard` writes them without a length in front of each.
+fn byte_pairs(bytes: Vec<u8>) -> Vec<(u8, u8)> {
     bytes.chunks(2).map(|pair| (pair[0], *pair.last().expect("chunks are not empty"))).collect()
 }
--- a/crates/jackdawpierd/tests/command_line.rs
+++ b/crates/jackdawpierd/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The daemon's and the tool's command lines: findings, exit statuses, tables and JSON.
+//! The command lines of the daemon and the tool: findings, exit statuses, tables and JSON.
 
 mod support;
 
@@ -9,7 +9,7 @@
 
 use support::{DECLARATION, Daemon, Deployment, wait_for};
 
-/// The tool's binary lies beside the daemon's; `scripts/test` builds both.
+/// Returns the path of the tool's binary, beside the daemon's; `scripts/test` builds both.
 fn tool() -> PathBuf {
     PathBuf::from(env!("CARGO_BIN_EXE_jackdawpierd")).with_file_name("jackdawpier")
 }
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn nobody_answers() {
+fn unreachable_entry() {
     let output = Command::new(tool())
         .args(["status", "--entry", "127.0.0.1:1"])
         .output()
@@ -98,7 +98,7 @@
     assert!(text(&output.stderr).contains("next:"), "{}", text(&output.stderr));
 }
 
-/// Status 4 says that nothing was done; 2 would say that the job's id is wrong.
+/// Without an owner the status has to be 4, nothing was done; 2 would mean that the job doesn't exist.
 #[test]
 fn unowned_job() {
     let deployment = Deployment::new("tool-unowned-job", 0, 0);
--- a/crates/jackdawpierd/tests/cuts.rs
+++ b/crates/jackdawpierd/tests/cuts.rs
@@ -1,4 +1,4 @@
-//! An entry and the store don't reach each other, in both directions or in one.
+//! Network partitions between an entry and the store, in both directions or in one.
 
 mod support;
 
@@ -11,9 +11,10 @@
     daemon.owned().contains(&"widgets".to_owned())
 }
 
-/// Cuts the owner of `widgets` under load: the others take over, nothing is lost or runs twice, the
-/// owner that is cut off says "not run" to what needs a record, and there is one owner afterwards.
-fn cut_owner(test: &str, cut: Cut) {
+/// Partitions the owner of `widgets` from the store under load. Another entry takes over, no request
+/// is lost or runs twice, the partitioned owner answers "not run" to keyed requests, and there is
+/// one owner afterwards.
+fn partition_owner(test: &str, cut: Cut) {
     let deployment = Deployment::new(test, 3, 1).with_default_timing().with_store_relays();
     let mut daemons = deployment.start_all(3);
     let at = daemons.iter().position(owns_widgets).expect("every cell is open");
@@ -25,8 +26,8 @@
         thread::sleep(Duration::from_millis(300));
         deployment.cut_from_store(&owner.name, cut);
         wait_for("another entry to take over", || daemons.iter().any(owns_widgets));
-        wait_for("the owner to let the shard go", || !owns_widgets(&owner));
-        let key = [("idempotency-key", "at-the-cut-off")];
+        wait_for("the owner to drop the shard", || !owns_widgets(&owner));
+        let key = [("idempotency-key", "at-partitioned-owner")];
         let plain = http("POST", owner.callers, "/render/x", &[], &work(900_001, 1_000));
         assert!(plain.is_some(), "it still answers");
         let keyed = http("POST", owner.callers, "/export/x", &key, &work(900_002, 1_000));
@@ -38,7 +39,7 @@
     let runs = deployment.runs();
     assert!(runs.values().all(|count| *count == 1), "{runs:?}");
     deployment.cut_from_store(&owner.name, Cut::None);
-    wait_for("the healed entry to serve", || owner.is_ready());
+    wait_for("the reconnected entry to serve", || owner.is_ready());
     wait_for("one owner of each cell", || {
         let cells: Vec<String> = daemons.iter().chain([&owner]).flat_map(Daemon::owned).collect();
         cells.len() == 2 && cells.contains(&"widgets".to_owned())
@@ -46,11 +47,11 @@
 }
 
 #[test]
-fn both_ways() {
-    cut_owner("both-ways", Cut::All);
+fn both_directions() {
+    partition_owner("both-directions", Cut::All);
 }
 
 #[test]
 fn answers_only() {
-    cut_owner("answers-only", Cut::Answers);
+    partition_owner("answers-only", Cut::Answers);
 }
--- a/crates/jackdawpierd/tests/large_declarations.rs
+++ b/crates/jackdawpierd/tests/large_declarations.rs
@@ -1,4 +1,4 @@
-//! What an operator hears who hands in more than can be carried or stored.
+//! Refusals of declarations that are too large to send or to store.
 
 mod support;
 
@@ -7,9 +7,9 @@
 use serde_json::Value;
 use support::{DECLARATION, Deployment, wait_for};
 
-/// A declaration that is below the limit on files and above the store's on records: each long name
-/// of a service is written once for eight classes.
-fn unstorable() -> String {
+/// Returns a declaration that is below the size limit of files and above that of the store's
+/// records: YAML aliases let eight classes share one long service name.
+fn declaration_beyond_record_limit() -> String {
     let mut text = "deployment: test\nclasses:\n".to_owned();
     for class in 0..5_200 {
         let group = class / 8;
@@ -26,15 +26,16 @@
     text
 }
 
-/// The answers were that the outcome is unknown, and that the text ended within a string.
+/// Guards against misleading answers: an unknown outcome for a record that is too large, and a syntax
+/// error for a request body that was truncated.
 #[test]
-fn named_bounds() {
-    let deployment = Deployment::new("named-bounds", 1, 1);
+fn limits_named() {
+    let deployment = Deployment::new("limits-named", 1, 1);
     let daemon = deployment.start("a", "");
     wait_for("the declaration to be accepted", || daemon.apply(0, DECLARATION).0 == 200);
-    let (status, findings) = daemon.apply(1, &unstorable());
+    let (status, findings) = daemon.apply(1, &declaration_beyond_record_limit());
     assert_eq!(status, 422, "{findings}");
-    assert!(findings.to_string().contains("1032192 bytes"), "the bound isn't named: {findings}");
+    assert!(findings.to_string().contains("1032192 bytes"), "the limit isn't named: {findings}");
     let (status, text) = daemon.apply(1, &" ".repeat(3 << 20));
     assert_eq!((status, text), (413, Value::from("the change has more than 1114112 bytes\n")));
     let (status, findings) = daemon.apply(1, &"#\"".repeat(260 << 10));
--- a/crates/jackdawpierd/tests/large_jobs.rs
+++ b/crates/jackdawpierd/tests/large_jobs.rs
@@ -1,13 +1,15 @@
-//! Jobs whose payload is larger than one record of the store.
+//! Jobs whose payload doesn't fit into one record of the store.
 
 mod support;
 
 use support::{Deployment, http, http_full, wait_for, work};
 
-/// Each of them takes four bytes in the store: it is escaped in the job and again in the segment.
+/// Number of quotes in the payload. Each takes four bytes in the store, as it is escaped in the job
+/// and again in the segment.
 const QUOTES: usize = 300_000;
 
-/// A job that no record can hold was written again for ever, and every later job and key was refused.
+/// Guards against retrying the write of a job that is too large for a record for ever, which blocks
+/// all later jobs and keys.
 #[test]
 fn beyond_one_record() {
     let deployment = Deployment::new("beyond-one-record", 1, 1);
@@ -21,7 +23,7 @@
         assert_eq!(status, 413);
         assert_eq!(answered["x-reason"], "too_large");
         let text = String::from_utf8_lossy(&text);
-        assert!(text.contains("1032192 bytes"), "the bound isn't named: {text}");
+        assert!(text.contains("1032192 bytes"), "the limit isn't named: {text}");
     }
     let headers = [("idempotency-key", "small")];
     let accepted = http("POST", daemons[0].callers, "/ledger/x", &headers, &work(1, 1_000));
--- a/crates/jackdawpierd/tests/leaving.rs
+++ b/crates/jackdawpierd/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Executors that leave get no new work, whoever says so first.
+//! Leaving executors get no new work, whether their own answers or the instance list show it first.
 
 mod support;
 
@@ -8,8 +8,8 @@
 use support::{Deployment, http, set_faults, wait_for, work};
 
 #[test]
-fn own_word() {
-    let deployment = Deployment::new("own-word", 2, 0);
+fn leaving_header() {
+    let deployment = Deployment::new("leaving-header", 2, 0);
     let daemons = deployment.start_all(2);
     let _ = http("POST", deployment.list, "/admin/lag/600000", &[], b"");
     let (_, leaving) = deployment.executors[0];
@@ -17,17 +17,20 @@
     for nonce in 0..200 {
         let daemon = &daemons[nonce as usize % 2];
         let answer = http("POST", daemon.callers, "/render/x", &[], &work(nonce, 500));
-        assert_eq!(answer.expect("it answers").0, 200, "nobody notices");
+        assert_eq!(answer.expect("it answers").0, 200, "callers are not affected");
     }
     let counts = http("GET", leaving, "/admin/counts", &[], b"").expect("it answers").1;
-    let tried = counts["new_while_leaving"].as_u64().expect("it counts");
-    println!("last new work {} ms after its own word", counts["last_new_while_leaving_ms"]);
-    assert!(tried <= 2, "one word of its own is enough at each deciding entry: {tried}");
+    let attempts = counts["new_while_leaving"].as_u64().expect("it counts");
+    println!(
+        "last new work {} ms after its first answer as leaving",
+        counts["last_new_while_leaving_ms"]
+    );
+    assert!(attempts <= 2, "one answer is enough for each deciding entry: {attempts}");
 }
 
 #[test]
-fn list_says() {
-    let deployment = Deployment::new("list-says", 2, 0);
+fn leaving_listed() {
+    let deployment = Deployment::new("leaving-listed", 2, 0);
     let daemons = deployment.start_all(1);
     let (id, address) = &deployment.executors[0];
     let _ = http("POST", deployment.list, &format!("/admin/leave/{id}"), &[], b"");
@@ -45,11 +48,11 @@
             let answer = http("POST", daemons[0].callers, "/render/x", &[], &work(nonce, 100));
             assert_eq!(answer.expect("it answers").0, 200);
         }
-        let is_quiet = runs(*address) == before;
-        if !is_quiet {
+        let is_idle = runs(*address) == before;
+        if !is_idle {
             last_work = marked_at.elapsed();
         }
-        is_quiet
+        is_idle
     });
-    println!("last new work at most {} ms after the list's word", last_work.as_millis());
+    println!("last new work at most {} ms after it was listed as leaving", last_work.as_millis());
 }
--- a/crates/jackdawpierd/tests/metrics.rs
+++ b/crates/jackdawpierd/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! Every exported metric is documented, and every documented one exported.
+//! The exported and the documented metrics are the same.
 
 mod support;
 
@@ -6,12 +6,12 @@
 
 use support::{Deployment, http_full, part};
 
-/// The page that is generated from the registered roles.
+/// The metrics page, generated from the registered roles.
 const PAGE: &str = include_str!("../../../docs/operators/metrics.md");
-/// The alerts, which must name only what exists.
+/// The alerts, which may only use exported metrics.
 const ALERTS: &str = include_str!("../../../docs/operators/alerts.yaml");
 
-fn words(text: &str) -> BTreeSet<String> {
+fn metric_names(text: &str) -> BTreeSet<String> {
     text.split(|c: char| !c.is_ascii_alphanumeric() && c != '_')
         .filter(|word| word.starts_with("jackdawpier_"))
         .map(str::to_owned)
@@ -39,8 +39,8 @@
         })
         .collect();
     let rows: String = PAGE.lines().filter(|line| line.starts_with("| `")).collect();
-    assert_eq!(exported, words(&rows), "exported and documented metrics");
-    for name in words(ALERTS) {
+    assert_eq!(exported, metric_names(&rows), "exported and documented metrics");
+    for name in metric_names(ALERTS) {
         assert!(exported.contains(&name), "an alert names {name}, which does not exist");
     }
 }
--- a/crates/jackdawpierd/tests/outages.rs
+++ b/crates/jackdawpierd/tests/outages.rs
@@ -1,4 +1,4 @@
-//! The store is down, slow or loses answers; entries are replaced meanwhile.
+//! Outages of the store, and entries that are replaced during one.
 
 mod support;
 
@@ -8,15 +8,15 @@
 use support::{DECLARATION, Deployment, http, http_full, part, set_faults, wait_for, work};
 use ureq::http::HeaderValue;
 
-/// Asks again for as long as it is told "not run", as a caller would; returns the first other
+/// Retries a request while it is answered with 503, as a caller would; returns the first other
 /// answer.
-fn decided(ask: impl Fn() -> Option<(u16, Value)>) -> (u16, Value) {
+fn retry_until_run(send: impl Fn() -> Option<(u16, Value)>) -> (u16, Value) {
     let mut answer = None;
     wait_for("an outcome other than \"not run\"", || {
-        answer = ask().filter(|(status, _)| *status != 503);
+        answer = send().filter(|(status, _)| *status != 503);
         answer.is_some()
     });
-    answer.expect("it was just there")
+    answer.expect("the wait ends with an answer")
 }
 
 #[test]
@@ -28,7 +28,7 @@
     set_faults(deployment.store, &json!({ "is_down": true }));
     std::thread::sleep(Duration::from_secs(4));
     for (nonce, daemon) in daemons.iter().enumerate() {
-        assert!(daemon.is_ready(), "an outage of the store stops nobody");
+        assert!(daemon.is_ready(), "entries stay ready during an outage of the store");
         let nonce = 10 + nonce as u64;
         let plain = http("POST", daemon.callers, "/render/x", &[], &work(nonce, 1_000));
         assert_eq!(plain.expect("it answers").0, 200);
@@ -40,25 +40,33 @@
         assert_eq!((status, &headers["x-outcome"]), (503, &HeaderValue::from_static("not_run")));
         assert!(headers.contains_key("retry-after"));
         let waited = started_at.elapsed();
-        assert!(waited < Duration::from_secs(10), "half of the time to finish within: {waited:?}");
-        assert_eq!(deployment.runs().get(&(20 + nonce)), None, "what was not run did not run");
+        assert!(
+            waited < Duration::from_secs(10),
+            "refused within half of the deadline: {waited:?}"
+        );
+        assert_eq!(
+            deployment.runs().get(&(20 + nonce)),
+            None,
+            "a request answered with not_run did not run"
+        );
     }
     set_faults(deployment.store, &json!({}));
-    wait_for("keyed requests to be taken again", || {
+    wait_for("keyed requests to be accepted again", || {
         let headers = [("idempotency-key", "after")];
         http("POST", daemons[0].callers, "/export/x", &headers, &work(2, 1_000))
             .is_some_and(|(status, _)| status == 200)
     });
-    let after = decided(|| http("POST", daemons[1].callers, "/export/x", &done, &work(1, 1_000)));
-    assert_eq!(before, Some(after), "an outcome outlives the outage");
+    let after =
+        retry_until_run(|| http("POST", daemons[1].callers, "/export/x", &done, &work(1, 1_000)));
+    assert_eq!(before, Some(after), "the outcome is kept over the outage");
     assert_eq!(deployment.runs().get(&1), Some(&1));
 }
 
-/// The request ends while the store is down, so that its end can't be written before its owner
-/// changes; whoever owns the key afterwards still gives the same answer.
+/// The request ends while the store is down, so its outcome isn't durable when the owner changes.
+/// The next owner of the key still has to give the same answer.
 #[test]
-fn end_unwritten() {
-    let deployment = Deployment::new("end-unwritten", 2, 0).with_default_timing();
+fn outcome_not_durable() {
+    let deployment = Deployment::new("outcome-not-durable", 2, 0).with_default_timing();
     let daemons = deployment.start_all(2);
     let key = [("idempotency-key", "slow")];
     let body = work(1, 1_500_000);
@@ -76,8 +84,8 @@
         daemons.iter().any(|daemon| daemon.owned().contains(&"widgets".to_owned()))
     });
     for daemon in &daemons {
-        let repeat = decided(|| http("POST", daemon.callers, "/export/x", &key, &body));
-        assert_eq!(repeat, first, "the end outlives the outage");
+        let repeat = retry_until_run(|| http("POST", daemon.callers, "/export/x", &key, &body));
+        assert_eq!(repeat, first, "the outcome is kept over the outage");
     }
     assert_eq!(deployment.runs().get(&1), Some(&1));
 }
@@ -104,10 +112,10 @@
     set_faults(deployment.store, &json!({ "is_down": true }));
     drop(daemons.pop());
     let seeds = format!("seed_peers: [\"{}\"]", daemons[0].peers);
-    let fresh = deployment.start("c", &seeds);
-    wait_for("the new entry to serve without the store", || fresh.is_ready());
-    assert_eq!(fresh.revision(), 2);
-    let answer = http("POST", fresh.callers, "/render/x", &[], &work(1, 1_000));
+    let replacement = deployment.start("c", &seeds);
+    wait_for("the new entry to serve without the store", || replacement.is_ready());
+    assert_eq!(replacement.revision(), 2);
+    let answer = http("POST", replacement.callers, "/render/x", &[], &work(1, 1_000));
     assert_eq!(answer.expect("it answers").0, 200);
 }
 
@@ -117,7 +125,7 @@
     set_faults(deployment.store, &json!({ "is_down": true }));
     let daemon = deployment.start("a", "");
     std::thread::sleep(Duration::from_secs(3));
-    assert!(!daemon.is_ready(), "without store and peers there is nothing to serve");
+    assert!(!daemon.is_ready(), "an entry without a configuration isn't ready");
     let answer = http_full("POST", daemon.callers, "/render/x", &[], &work(1, 1_000));
     let (status, headers, _) = answer.expect("it answers");
     assert_eq!((status, &headers["x-reason"]), (503, &HeaderValue::from_static("not_ready")));
@@ -130,16 +138,16 @@
     set_faults(deployment.store, &json!({ "is_stale": true }));
     assert_eq!(daemons[0].apply(1, DECLARATION).0, 200);
     wait_for("both to have revision 2", || daemons.iter().all(|daemon| daemon.revision() == 2));
-    let fresh = deployment.start("c", "");
-    wait_for("the new entry to hear of revision 2", || fresh.revision() == 2);
+    let replacement = deployment.start("c", "");
+    wait_for("the new entry to get revision 2", || replacement.revision() == 2);
     set_faults(deployment.store, &json!({}));
-    wait_for("the new entry to serve", || fresh.is_ready());
-    assert_eq!(fresh.revision(), 2);
+    wait_for("the new entry to serve", || replacement.is_ready());
+    assert_eq!(replacement.revision(), 2);
 }
 
 #[test]
-fn job_outlives() {
-    let deployment = Deployment::new("job-outlives", 1, 1).with_default_timing();
+fn job_survives() {
+    let deployment = Deployment::new("job-survives", 1, 1).with_default_timing();
     let daemons = deployment.start_all(2);
     let headers = [("idempotency-key", "key-9")];
     let accepted = http("POST", daemons[0].callers, "/ledger/x", &headers, &work(9, 9_000_000));
--- a/crates/jackdawpierd/tests/owners.rs
+++ b/crates/jackdawpierd/tests/owners.rs
@@ -1,4 +1,5 @@
-//! Owners that stop, die or freeze: nothing is cut off, nothing runs twice, someone takes over.
+//! Owners that stop, are killed or are suspended: requests are answered, none runs twice, and another
+//! entry takes over.
 
 mod support;
 
@@ -9,7 +10,7 @@
 
 use support::{Daemon, Deployment, http, part, wait_for, work};
 
-/// Splits the owner of the service `widgets` from the others.
+/// Returns the owner of the service `widgets`, and the other entries.
 fn owner_of_widgets(mut daemons: Vec<Daemon>) -> (Daemon, Vec<Daemon>) {
     let at = daemons
         .iter()
@@ -19,7 +20,7 @@
     (owner, daemons)
 }
 
-/// Tries a fresh keyed request until it is answered; returns how long that took.
+/// Retries a new keyed request until it is answered; returns the time that this took.
 fn time_without_owner(daemon: &Daemon, nonce: u64) -> Duration {
     let started_at = Instant::now();
     let key = format!("fresh-{nonce}");
@@ -49,10 +50,10 @@
         let load = scope.spawn(|| deployment.load(targets, mix, 1_500, 2));
         thread::sleep(Duration::from_millis(300));
         owner.signal("TERM");
-        assert!(owner.wait(), "a planned stop ends well");
+        assert!(owner.wait(), "a planned stop succeeds");
         load.join().expect("the load ends")
     });
-    let answered = slow.join().expect("the caller ends").expect("it was not cut off");
+    let answered = slow.join().expect("the caller ends").expect("its connection was not closed");
     assert_eq!(answered.0, 200, "a request in flight at the stopping entry is answered");
     assert!(load.violations.is_zero(), "{load}");
     assert_eq!(load.outcomes.get("answered"), Some(&1_500), "{load}");
@@ -82,8 +83,8 @@
 }
 
 #[test]
-fn frozen_owner() {
-    let deployment = Deployment::new("frozen-owner", 3, 1).with_default_timing();
+fn suspended_owner() {
+    let deployment = Deployment::new("suspended-owner", 3, 1).with_default_timing();
     let (owner, others) = owner_of_widgets(deployment.start_all(3));
     let targets = vec![others[0].callers, others[1].callers];
     let mix = vec![part("export", 2_000, true), part("nightly", 2_000, true)];
@@ -92,7 +93,7 @@
         thread::sleep(Duration::from_millis(500));
         owner.signal("STOP");
         println!(
-            "time without an owner after a freeze: {:?}",
+            "time without an owner after a suspension: {:?}",
             time_without_owner(&others[0], 900_004)
         );
         owner.signal("CONT");
@@ -104,14 +105,14 @@
         let cells: Vec<String> = all.flat_map(Daemon::owned).collect();
         cells.len() == 2 && cells.contains(&"widgets".to_owned())
     });
-    wait_for("the thawed entry to serve again", || owner.is_ready());
+    wait_for("the resumed entry to serve again", || owner.is_ready());
 }
 
-/// The owner freezes with a request under way and another takes over. The repeat is told "unknown"
-/// while nobody can know, and the answer as soon as the first owner can be asked.
+/// The owner is suspended while a request runs, and another entry takes over. A repeat is answered
+/// "unknown" until the first owner can be queried for the outcome.
 #[test]
-fn end_recalled() {
-    let deployment = Deployment::new("end-recalled", 2, 0).with_default_timing();
+fn outcome_queried() {
+    let deployment = Deployment::new("outcome-queried", 2, 0).with_default_timing();
     let (owner, others) = owner_of_widgets(deployment.start_all(2));
     let key = [("idempotency-key", "slow")];
     let body = work(1, 1_000_000);
@@ -123,24 +124,24 @@
             others[0].owned().contains(&"widgets".to_owned())
         });
         let repeat = || http("POST", others[0].callers, "/export/x", &key, &body);
-        assert_eq!(repeat().expect("it answers").0, 504, "nobody can know");
+        assert_eq!(repeat().expect("it answers").0, 504, "the outcome can't be known");
         owner.signal("CONT");
         let first = first.join().expect("the caller ends").expect("it answers");
         assert_eq!(first.0, 200, "{}", first.1);
-        wait_for("the other entry to learn the answer", || repeat().as_ref() == Some(&first));
+        wait_for("the other entry to get the outcome", || repeat().as_ref() == Some(&first));
     });
     assert_eq!(deployment.runs().get(&1), Some(&1));
 }
 
 #[test]
-fn views_differ() {
-    let deployment = Deployment::new("views-differ", 2, 0).with_default_timing();
+fn two_deciding_entries() {
+    let deployment = Deployment::new("two-deciding-entries", 2, 0).with_default_timing();
     let (owner, others) = owner_of_widgets(deployment.start_all(3));
     let targets = vec![others[0].callers, others[1].callers];
     let mix = vec![part("render", 40_000, false)];
     let load = thread::scope(|scope| {
-        let plan = || deployment.load_with(targets, mix, 2_400, 8, 64);
-        let load = scope.spawn(plan);
+        let drive_load = || deployment.load_with(targets, mix, 2_400, 8, 64);
+        let load = scope.spawn(drive_load);
         thread::sleep(Duration::from_millis(800));
         owner.signal("STOP");
         thread::sleep(Duration::from_millis(2_500));
@@ -152,6 +153,6 @@
         let counts = http("GET", *address, "/admin/counts", &[], b"").expect("it answers").1;
         let most = counts["max_at_once"].as_u64().expect("it counts");
         println!("{id}: at most {most} in 8 slots, over them for {} us", counts["over_slots_us"]);
-        assert!(most <= 16, "two deciding entries at the most: {most}");
+        assert!(most <= 16, "at most two entries decide at once: {most}");
     }
 }
--- a/crates/jackdawpierd/tests/parked.rs
+++ b/crates/jackdawpierd/tests/parked.rs
@@ -1,4 +1,4 @@
-//! A parked job and the operator who decides on it.
+//! Operators' decisions on parked jobs.
 
 mod support;
 
--- a/crates/jackdawpierd/tests/slow_links.rs
+++ b/crates/jackdawpierd/tests/slow_links.rs
@@ -1,4 +1,4 @@
-//! What is large for its link arrives late, and arrives.
+//! Large transfers over slow links succeed, however long they take.
 
 mod support;
 
@@ -9,7 +9,8 @@
 
 const LINK_BYTES_PER_S: u32 = 200_000;
 
-/// The list took two seconds, was given up after one each time, and no entry ever served.
+/// Guards against a timeout for the whole instance list: the list takes two seconds here, and with a
+/// timeout of one second no entry ever got ready.
 #[test]
 fn long_list() {
     let deployment = Deployment::new("long-list", 1, 0).with_slow_list(40, LINK_BYTES_PER_S);
@@ -18,7 +19,7 @@
     wait_for("the entry to be ready", || daemon.is_ready());
 }
 
-/// A declaration of this many classes, with long names.
+/// Returns a declaration with this many classes with long names.
 fn large_declaration(classes: usize) -> String {
     let mut text = "deployment: test\nclasses:\n".to_owned();
     for class in 0..classes {
@@ -33,16 +34,16 @@
     text
 }
 
-/// The document came with the answer to each heartbeat, which was given up after 0.8 s, and the peer
-/// wasn't heard either.
+/// Guards against attaching a large document to the answer to a heartbeat: such an answer times out
+/// after 0.8 s each time, so neither the document nor the heartbeat ever arrives.
 #[test]
 fn large_document() {
     let deployment = Deployment::new("large-document", 1, 0).with_store_relays();
-    let known = deployment.start("a", "");
+    let first = deployment.start("a", "");
     wait_for("the declaration to be accepted", || {
-        known.apply(0, &large_declaration(2_600)).0 == 200
+        first.apply(0, &large_declaration(2_600)).0 == 200
     });
-    let link = udp_link::start(known.peers, LINK_BYTES_PER_S).expect("there is a free port");
+    let link = udp_link::start(first.peers, LINK_BYTES_PER_S).expect("there is a free port");
     deployment.cut_from_store("b", Cut::All);
     let newcomer = deployment.start("b", &format!("seed_peers: [\"{link}\"]"));
     wait_for("the document to arrive", || newcomer.revision() == 1);
--- a/crates/jackdawpierd/tests/support/mod.rs
+++ b/crates/jackdawpierd/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! A small deployment on loopback for the tests of the wiring: stand-ins in this process, daemons
-//! as processes of their own.
+//! A small deployment on loopback: stand-ins run in the test's process, daemons in processes of
+//! their own.
 
-#![allow(dead_code, reason = "each test program uses a part of this")]
+#![allow(dead_code, reason = "each test program uses a part of this module")]
 
 use std::{
     collections::BTreeMap,
@@ -24,11 +24,11 @@
 };
 use serde_json::{Value, json};
 
-/// Longest wait for something that must happen; never a bound on how fast it happens.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Timeout of waiting for a condition; generous, as no test checks how fast conditions are met.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// One daemon.
+/// A running daemon.
 pub(crate) struct Daemon {
     pub(crate) name: String,
     pub(crate) callers: SocketAddr,
@@ -47,43 +47,43 @@
         assert!(status.success(), "{} got no {name}", self.name);
     }
 
-    /// Stops the process where it is, and returns once all its threads stand still.
-    pub(crate) fn freeze(&self) {
+    /// Suspends the process, and returns once all its threads are stopped.
+    pub(crate) fn suspend(&self) {
         self.signal("STOP");
         let threads = format!("/proc/{}/task", self.child.id());
-        let stands_still = |thread: std::fs::DirEntry| {
+        let is_stopped = |thread: std::fs::DirEntry| {
             let stat = std::fs::read_to_string(thread.path().join("stat")).unwrap_or_default();
             stat.rsplit(')').next().is_some_and(|fields| fields.trim_start().starts_with('T'))
         };
-        wait_for("the process to stand still", || {
+        wait_for("the process to be suspended", || {
             let mut threads = std::fs::read_dir(&threads).expect("it is ours");
-            threads.all(|thread| thread.is_ok_and(stands_still))
+            threads.all(|thread| thread.is_ok_and(is_stopped))
         });
     }
 
-    /// Waits for the process to end and says whether it ended well.
+    /// Waits for the process to end; returns whether its exit status is success.
     pub(crate) fn wait(&mut self) -> bool {
         wait_for("the daemon to end", || self.child.try_wait().expect("it is ours").is_some());
         self.child.wait().expect("it is ours").success()
     }
 
-    /// Asks the operators' port.
+    /// Sends a GET request to the operators' port.
     pub(crate) fn get(&self, path: &str) -> (u16, Value) {
         http("GET", self.operators, path, &[], b"").unwrap_or((0, Value::Null))
     }
 
-    /// Whether it takes callers.
+    /// Returns whether it serves callers.
     pub(crate) fn is_ready(&self) -> bool {
         self.get("/readyz").0 == 200
     }
 
-    /// Puts a declaration in force.
+    /// Applies a declaration on top of revision `base`.
     pub(crate) fn apply(&self, base: u64, text: &str) -> (u16, Value) {
         let body = json!({ "base": base, "file": "test.yaml", "text": text }).to_string();
         http("POST", self.operators, "/v1/apply", &[], body.as_bytes()).expect("it answers")
     }
 
-    /// Services whose cells this entry has open.
+    /// Returns the services whose cells this entry has open.
     pub(crate) fn owned(&self) -> Vec<String> {
         let status = self.get("/v1/status").1;
         let services = status["services"].as_object().cloned().unwrap_or_default();
@@ -94,7 +94,7 @@
             .collect()
     }
 
-    /// Revision in force.
+    /// Returns the revision in force.
     pub(crate) fn revision(&self) -> u64 {
         self.get("/v1/status").1["documents"][0]["revision"].as_u64().unwrap_or(0)
     }
@@ -107,7 +107,7 @@
     }
 }
 
-/// The platform's and back ends' stand-ins with a folder for keys and settings.
+/// Stand-ins of the platform and the backend servers, and a folder for keys and settings.
 pub(crate) struct Deployment {
     pub(crate) store: SocketAddr,
     pub(crate) list: SocketAddr,
@@ -118,9 +118,9 @@
     store_relays: BTreeMap<&'static str, Relay>,
 }
 
-/// Tests in which no lease has to lapse give it time, so that a machine that is busy with other
-/// things for a second or two does not make an entry stop serving.
-const PATIENT_TIMING: &str = "timing: { member_lease_ms: 10000 }";
+/// Timing for tests in which no lease has to expire. The lease is long enough for an entry to keep it
+/// on a machine that is overloaded for a second or two.
+const LONG_LEASE_TIMING: &str = "timing: { member_lease_ms: 10000 }";
 
 impl Drop for Deployment {
     fn drop(&mut self) {
@@ -157,7 +157,7 @@
             executors: Vec::new(),
             workers: Vec::new(),
             folder,
-            timing: PATIENT_TIMING,
+            timing: LONG_LEASE_TIMING,
             store_relays: BTreeMap::new(),
         };
         for index in 0..executors {
@@ -181,32 +181,33 @@
         deployment
     }
 
-    /// Uses the product's own lease, for tests in which it has to lapse.
+    /// Uses the default lease, for tests in which it has to expire.
     pub(crate) fn with_default_timing(mut self) -> Self {
         self.timing = "";
         self
     }
 
-    /// Gives each entry a way of its own to the store, which can be cut.
+    /// Connects each entry to the store through a relay of its own, which can be cut.
     pub(crate) fn with_store_relays(mut self) -> Self {
         let relay = |name| (name, Relay::start(self.store).expect("there is a free port"));
         self.store_relays = ["a", "b", "c"].map(relay).into();
         self
     }
 
-    /// Cuts an entry from the store, or heals the cut.
+    /// Sets the partition between an entry and the store.
     pub(crate) fn cut_from_store(&self, name: &str, cut: Cut) {
         self.store_relays[name].set(cut);
     }
 
-    /// Puts the instance list, with `more` instances of 10 KB each, behind a link of this many bytes
-    /// a second.
+    /// Adds `more` instances of 10 KB each to the instance list, and serves it over a link with this
+    /// many bytes a second.
     pub(crate) fn with_slow_list(mut self, more: usize, bytes_per_s: u32) -> Self {
         for index in 0..more {
             let id = format!("others-{index}");
             let mut instance = instance(&id, InstanceRole::Executor, "others", any_port());
             instance.rack = "r".repeat(10_000).as_str().into();
-            instance_list::register(&format!("http://{}", self.list), &instance).expect("it is up");
+            instance_list::register(&format!("http://{}", self.list), &instance)
+                .expect("the list is up");
         }
         let link = Relay::start_slow(self.list, bytes_per_s).expect("there is a free port");
         self.list = link.address;
@@ -215,15 +216,16 @@
 
     fn register(&self, id: &str, role: InstanceRole, service: &str, address: SocketAddr) {
         let instance = instance(id, role, service, address);
-        instance_list::register(&format!("http://{}", self.list), &instance).expect("it is up");
+        instance_list::register(&format!("http://{}", self.list), &instance)
+            .expect("the list is up");
     }
 
-    /// Path of a file in the deployment's folder.
+    /// Returns the path of a file in the deployment's folder.
     pub(crate) fn file(&self, name: &str) -> PathBuf {
         self.folder.join(name)
     }
 
-    /// Settings of the entry `name`, with more lines at the end.
+    /// Returns the settings of the entry `name`, with `more` lines at the end.
     pub(crate) fn settings(&self, name: &str, more: &str) -> String {
         let folder = self.folder.display();
         let store = self.store_relays.get(name).map_or(self.store, |relay| relay.address);
@@ -261,7 +263,7 @@
         daemons
     }
 
-    /// Runs of each nonce, over executors and workers.
+    /// Returns the number of runs of each nonce, over all executors and workers.
     pub(crate) fn runs(&self) -> BTreeMap<u64, u32> {
         let executors: Vec<String> =
             self.executors.iter().map(|(_, address)| address.to_string()).collect();
@@ -269,7 +271,7 @@
         load::fetch_runs(&executors, &workers)
     }
 
-    /// Drives callers and checks what they were told against what ran.
+    /// Generates load from callers, and checks their answers against the runs.
     pub(crate) fn load(
         &self,
         targets: Vec<SocketAddr>,
@@ -280,7 +282,7 @@
         self.load_with(targets, mix, requests, seed, 8)
     }
 
-    /// The same with this many callers at once.
+    /// Like `load`, with this many concurrent callers.
     pub(crate) fn load_with(
         &self,
         targets: Vec<SocketAddr>,
@@ -329,7 +331,7 @@
     ready.send(address).expect("the test waits for it");
 }
 
-/// A part of a mix.
+/// Returns a part of a load mix.
 pub(crate) fn part(class: &str, work_us: u64, is_keyed: bool) -> MixPart {
     MixPart { class: class.to_owned(), share: 1, work_us, is_keyed }
 }
@@ -358,16 +360,16 @@
     }
 }
 
-/// Polls until `is_met`, and fails the test if that never comes.
+/// Polls until `is_met` returns true; fails the test after a timeout.
 pub(crate) fn wait_for(what: &str, mut is_met: impl FnMut() -> bool) {
     let started_at = Instant::now();
     while !is_met() {
-        assert!(started_at.elapsed() < PATIENCE, "waited in vain for {what}");
+        assert!(started_at.elapsed() < WAIT_TIMEOUT, "timed out waiting for {what}");
         std::thread::sleep(POLL_INTERVAL);
     }
 }
 
-/// One HTTP call; the body is JSON, or a string where it isn't.
+/// Sends an HTTP request; returns the status, and the body as JSON, or as a string if it isn't JSON.
 pub(crate) fn http(
     method: &str,
     address: SocketAddr,
@@ -381,7 +383,7 @@
     Some((status, value))
 }
 
-/// One HTTP call with the answer's headers and raw body.
+/// Sends an HTTP request; returns the status, the headers and the raw body.
 pub(crate) fn http_full(
     method: &str,
     address: SocketAddr,
@@ -390,7 +392,7 @@
     body: &[u8],
 ) -> Option<(u16, ureq::http::HeaderMap, Vec<u8>)> {
     let agent = ureq::Agent::config_builder()
-        .timeout_global(Some(PATIENCE))
+        .timeout_global(Some(WAIT_TIMEOUT))
         .http_status_as_error(false)
         .allow_non_standard_methods(true)
         .build()
@@ -407,14 +409,14 @@
     Some((status, headers, text))
 }
 
-/// Switches faults of a stand-in.
+/// Sets the faults of a stand-in.
 pub(crate) fn set_faults(address: SocketAddr, faults: &Value) {
     let body = faults.to_string();
     let answer = http("POST", address, "/admin/faults", &[], body.as_bytes());
     assert_eq!(answer.expect("the stand-in answers").0, 200);
 }
 
-/// The work that an executor or worker does.
+/// Returns the body of a request that makes an executor or worker work for `work_us`.
 pub(crate) fn work(nonce: u64, work_us: u64) -> Vec<u8> {
     json!({ "nonce": nonce, "work_us": work_us }).to_string().into_bytes()
 }
--- a/crates/jackdawpierd/tests/traces.rs
+++ b/crates/jackdawpierd/tests/traces.rs
@@ -1,4 +1,4 @@
-//! A span for each hop, hanging together over all processes.
+//! Each hop of a request has a span, linked to the span of the previous hop across processes.
 
 mod support;
 
@@ -65,7 +65,7 @@
     assert_eq!(count("decide > executor") + count("request > executor"), 2, "{links:?}");
 }
 
-/// A collector that keeps what it is sent.
+/// A collector that stores the bodies of the requests to it.
 #[derive(Clone, Default)]
 struct Collector {
     bodies: Arc<Mutex<Vec<String>>>,
@@ -80,8 +80,8 @@
 }
 
 #[test]
-fn collector_told() {
-    let deployment = Deployment::new("collector-told", 1, 0);
+fn collector_export() {
+    let deployment = Deployment::new("collector-export", 1, 0);
     let collector = Collector::default();
     let handler = collector.clone();
     let (sender, receiver) = std::sync::mpsc::channel();
--- a/crates/jackdawpierd/tests/whole_path.rs
+++ b/crates/jackdawpierd/tests/whole_path.rs
@@ -1,4 +1,4 @@
-//! A request from one end to the other, over three processes.
+//! Requests, jobs and configuration changes end to end, over several processes.
 
 mod support;
 
@@ -28,10 +28,10 @@
     let headers = [("idempotency-key", "k1")];
     let first = http("POST", daemons[0].callers, "/export/x", &headers, &work(7, 1_000));
     let second = http("POST", daemons[1].callers, "/export/x", &headers, &work(7, 1_000));
-    assert_eq!(first, second, "a repeat gets the same answer at any entry");
+    assert_eq!(first, second, "a repeat gets the same answer from any entry");
     assert_eq!(deployment.runs().get(&7), Some(&1));
     let other = http_full("POST", daemons[0].callers, "/export/x", &headers, &work(8, 1_000));
-    assert_eq!(other.expect("it answers").0, 400, "a key is for one request");
+    assert_eq!(other.expect("it answers").0, 400, "a key can't be reused for another request");
     assert_eq!(deployment.runs().get(&8), None);
 }
 
@@ -43,7 +43,7 @@
     let accepted = http("POST", daemons[0].callers, "/nightly/x", &headers, &work(5, 20_000));
     let (status, body) = accepted.expect("it answers");
     assert_eq!(status, 202);
-    let path = format!("/nightly/jobs/{}", body["job"].as_str().expect("it has a name"));
+    let path = format!("/nightly/jobs/{}", body["job"].as_str().expect("it has an id"));
     wait_for("the job to be done", || {
         let shown = http("GET", daemons[1].callers, &path, &[], b"").expect("it answers").1;
         shown["state"]["state"] == "done"
@@ -52,8 +52,8 @@
 }
 
 #[test]
-fn wrong_answers() {
-    let deployment = Deployment::new("wrong-answers", 1, 0);
+fn corrupt_answers() {
+    let deployment = Deployment::new("corrupt-answers", 1, 0);
     let daemons = deployment.start_all(1);
     let executor = deployment.executors[0].1;
     for fault in ["is_truncating", "is_mixing_up"] {
@@ -82,8 +82,8 @@
 }
 
 #[test]
-fn callers_gone() {
-    let deployment = Deployment::new("callers-gone", 1, 0);
+fn disconnected_callers() {
+    let deployment = Deployment::new("disconnected-callers", 1, 0);
     let daemons = deployment.start_all(2);
     let busy: Vec<_> = (0..8)
         .map(|nonce| {
@@ -109,12 +109,12 @@
     let last = http("POST", daemons[0].callers, "/update/x", &[], &work(500, 100));
     assert_eq!(last.expect("it answers").0, 200);
     let ran = deployment.runs().keys().filter(|nonce| (100..140).contains(*nonce)).count();
-    assert!(ran <= 4, "{ran} of 40 requests ran though their callers were gone");
+    assert!(ran <= 4, "{ran} of 40 requests ran after their callers had disconnected");
 }
 
 #[test]
-fn keys_apart() {
-    let deployment = Deployment::new("keys-apart", 1, 1);
+fn keys_per_customer() {
+    let deployment = Deployment::new("keys-per-customer", 1, 1);
     let daemons = deployment.start_all(2);
     let send = |class: &str, customer: &str, key: &str| {
         let headers = [("idempotency-key", key), ("x-customer", customer)];
@@ -124,7 +124,7 @@
     for (customer, key) in [("one", "same"), ("two", "same"), ("a/b", "c"), ("a", "b/c")] {
         assert_eq!(send("export", customer, key).0, 200);
     }
-    assert_eq!(deployment.runs().get(&77), Some(&4), "a key belongs to its customer");
+    assert_eq!(deployment.runs().get(&77), Some(&4), "keys are scoped to customers");
     let jobs: std::collections::BTreeSet<String> =
         [("one", "same"), ("two", "same"), ("a-b", "c"), ("a", "b-c"), ("one", "same")]
             .into_iter()
