--- a/crates/jackdawpier_peer/src/lib.rs
+++ b/crates/jackdawpier_peer/src/lib.rs
@@ -192,8 +192,8 @@
     }
 
     async fn connection(&self, address: SocketAddr) -> Result<Connection, PeerError> {
-        let known = self.lock().get(&address).cloned();
-        if let Some(connection) = known.filter(|found| found.close_reason().is_none()) {
+        let cached = self.lock().get(&address).cloned();
+        if let Some(connection) = cached.filter(|found| found.close_reason().is_none()) {
             return Ok(connection);
         }
         let not_sent = |detail: String| PeerError::NotSent { address, detail };
@@ -213,7 +213,7 @@
         let mut connections = self.lock();
         let is_current = connections
             .get(&address)
-            .is_some_and(|known| known.stable_id() == connection.stable_id());
+            .is_some_and(|cached| cached.stable_id() == connection.stable_id());
         if is_current {
             connections.remove(&address);
         }
--- a/crates/jackdawpierd/src/callers.rs
+++ b/crates/jackdawpierd/src/callers.rs
@@ -40,16 +40,16 @@
 }
 
 /// Counts a request as in flight until it is dropped.
-struct InFlight<'a>(&'a Entry);
+struct InFlightGuard<'a>(&'a Entry);
 
-impl<'a> InFlight<'a> {
+impl<'a> InFlightGuard<'a> {
     fn new(entry: &'a Entry) -> Self {
         entry.requests_in_flight.fetch_add(1, Ordering::Relaxed);
         Self(entry)
     }
 }
 
-impl Drop for InFlight<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.requests_in_flight.fetch_sub(1, Ordering::Relaxed);
     }
@@ -60,7 +60,7 @@
         Self { entry: Arc::clone(entry) }
     }
 
-    async fn answer(&self, request: IncomingRequest) -> Outcome {
+    async fn handle_work(&self, request: IncomingRequest) -> Outcome {
         let entry = &self.entry;
         let refuse = |reason| Outcome::NotRun { reason, retry_after: NOT_READY_RETRY_AFTER };
         if !entry.is_ready() {
@@ -72,7 +72,7 @@
         let Some(class) = entry.coordination().configuration.class(class).cloned() else {
             return refuse(RefusalReason::UnknownClass);
         };
-        let Some(work) = self.work(&request, &class, path) else {
+        let Some(work) = self.parse_request(&request, &class, path) else {
             return refuse(RefusalReason::BadRequest);
         };
         let is_job = class.kind == WorkKind::Refresh;
@@ -87,7 +87,12 @@
     }
 
     /// Parses a caller's request; returns `None` if it is malformed.
-    fn work(&self, request: &IncomingRequest, class: &Class, path: &str) -> Option<WorkRequest> {
+    fn parse_request(
+        &self,
+        request: &IncomingRequest,
+        class: &Class,
+        path: &str,
+    ) -> Option<WorkRequest> {
         let customer = match request.headers.get(headers::CUSTOMER) {
             None => headers::NO_CUSTOMER,
             Some(value) => value.to_str().ok().filter(|name| name.len() <= MAX_NAME_BYTES)?,
@@ -103,8 +108,8 @@
         let time_left = match request.headers.get(headers::DEADLINE_MS) {
             None => class.finish_within(),
             Some(value) => {
-                let wanted = Duration::from_millis(value.to_str().ok()?.parse().ok()?);
-                wanted.min(class.finish_within())
+                let requested = Duration::from_millis(value.to_str().ok()?.parse().ok()?);
+                requested.min(class.finish_within())
             }
         };
         Some(WorkRequest {
@@ -126,7 +131,7 @@
     }
 
     /// `GET /CLASS/jobs/ID` shows a job, `DELETE` cancels it.
-    async fn job(&self, request: &IncomingRequest) -> Option<Reply> {
+    async fn handle_job(&self, request: &IncomingRequest) -> Option<Reply> {
         let mut parts = request.path.trim_start_matches('/').splitn(3, '/');
         let (class, segment, id) = (parts.next()?, parts.next()?, parts.next()?);
         let action = match request.method.as_str() {
@@ -141,8 +146,8 @@
         if class.kind != WorkKind::Refresh {
             return None;
         }
-        let found = act_on_job(&self.entry, &class.service, &id.into(), action).await;
-        Some(match found {
+        let result = act_on_job(&self.entry, &class.service, &id.into(), action).await;
+        Some(match result {
             Ok(Some(text)) => Reply::new(200, "application/json", text),
             Ok(None) => Reply::new(404, "text/plain", "no such job\n"),
             Err(outcome @ Outcome::Unknown { .. }) => {
@@ -267,12 +272,12 @@
 
 impl Handler for CallerApi {
     async fn handle(&self, request: IncomingRequest) -> Reply {
-        let _in_flight = InFlight::new(&self.entry);
-        if let Some(reply) = self.job(&request).await {
+        let _in_flight = InFlightGuard::new(&self.entry);
+        if let Some(reply) = self.handle_job(&request).await {
             return reply;
         }
         let started_at = self.entry.now();
-        let outcome = self.answer(request).await;
+        let outcome = self.handle_work(request).await;
         self.entry.metrics.count_outcome(&outcome, self.entry.now().saturating_sub(started_at));
         reply(outcome)
     }
--- a/crates/jackdawpierd/src/capacity.rs
+++ b/crates/jackdawpierd/src/capacity.rs
@@ -56,7 +56,7 @@
 const MILLI: u32 = 1_000;
 
 /// Inputs of one planning round.
-struct Inputs {
+struct PlanningInputs {
     classes: Vec<Class>,
     ceilings: Ceilings,
     instances: Arc<Vec<Instance>>,
@@ -91,7 +91,7 @@
 }
 
 /// The fleet as the instance list shows it, and the state that only the holder has.
-struct State {
+struct CapacityState {
     fleet: Fleet,
     ids: Vec<Arc<str>>,
     by_id: HashMap<Arc<str>, InstanceIx>,
@@ -114,13 +114,13 @@
 
 /// The capacity role of one entry.
 pub(crate) struct Capacity {
-    state: Mutex<State>,
+    state: Mutex<CapacityState>,
     agent: ureq::Agent,
 }
 
 impl Capacity {
     pub(crate) fn new() -> Self {
-        let state = State {
+        let state = CapacityState {
             fleet: Fleet::new(),
             ids: Vec::new(),
             by_id: HashMap::new(),
@@ -135,7 +135,7 @@
         Self { state: Mutex::new(state), agent }
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, CapacityState> {
         self.state.lock().expect("no holder of this lock panics")
     }
 
@@ -167,7 +167,7 @@
             let classes = coordination.configuration.classes().into_values().collect();
             (classes, ceilings(&coordination.configuration))
         };
-        let inputs = Inputs {
+        let inputs = PlanningInputs {
             classes,
             ceilings,
             instances: entry.instances(),
@@ -187,7 +187,7 @@
     }
 
     /// Returns the values of the gauges; empty if this entry is not the holder.
-    pub(crate) fn figures(&self) -> CapacityGauges {
+    pub(crate) fn gauges(&self) -> CapacityGauges {
         let state = self.lock();
         let Some(holder) = state.holder.as_ref().filter(|holder| holder.cell.is_open()) else {
             return CapacityGauges::default();
@@ -274,7 +274,7 @@
     }
 }
 
-impl State {
+impl CapacityState {
     fn acquire(&mut self, entry: &Entry) -> Vec<Action> {
         self.next_generation += 1;
         let incarnation = entry.incarnation.wrapping_add(self.next_generation);
@@ -336,7 +336,7 @@
         actions
     }
 
-    fn tick(&mut self, now: Now, inputs: &Inputs) -> Vec<Action> {
+    fn tick(&mut self, now: Now, inputs: &PlanningInputs) -> Vec<Action> {
         let peaks = self.update_pools(&inputs.classes);
         self.update_instances(&inputs.instances);
         let Some(holder) = self.holder.as_mut().filter(|holder| holder.cell.is_open()) else {
@@ -412,12 +412,10 @@
         let shrink_policies: HashMap<PoolIx, ShrinkPolicy> = forecasts
             .iter()
             .map(|(pool, forecast)| {
-                let is_held = wave.is_some_and(|wave| wave.has_unfinished_in(&self.fleet, *pool));
-                let later = forecast.later_need;
-                (
-                    *pool,
-                    ShrinkPolicy { later_need: later, is_blocked: is_held, is_immediate: false },
-                )
+                let is_blocked =
+                    wave.is_some_and(|wave| wave.has_unfinished_in(&self.fleet, *pool));
+                let later_need = forecast.later_need;
+                (*pool, ShrinkPolicy { later_need, is_blocked, is_immediate: false })
             })
             .collect();
         // A pool has no forecast when its declaration was removed; it is left as it is.
@@ -437,7 +435,7 @@
     }
 
     /// Updates the sums of the day, and writes them when they are due.
-    fn update_day_sums(&mut self, now: Now, inputs: &Inputs) {
+    fn update_day_sums(&mut self, now: Now, inputs: &PlanningInputs) {
         let Some(holder) = &mut self.holder else { return };
         let buffer: u64 =
             self.pools.values().map(|ix| u64::from(explain(self.fleet.pool(*ix)).buffer)).sum();
--- a/crates/jackdawpierd/src/capacity/fleet_view.rs
+++ b/crates/jackdawpierd/src/capacity/fleet_view.rs
@@ -15,7 +15,7 @@
 use jackdawpier_kernel::instance::{FREE_POOL, Instance, InstanceState};
 use jackdawpier_settings::declaration::Class;
 
-use super::{Inputs, MILLI, State};
+use super::{CapacityState, MILLI, PlanningInputs};
 
 pub(super) fn day_kind(since_epoch: Duration) -> DayKind {
     let weekday = (since_epoch.as_secs() / DAY_S + EPOCH_WEEKDAY) % 7;
@@ -29,7 +29,7 @@
 
 const FIRST_WEEKEND_DAY: u64 = 5;
 
-impl State {
+impl CapacityState {
     /// Adds a pool for each service and returns the targets at the declared peaks. The needs of a
     /// service's classes add up; of their other limits the strictest applies.
     pub(super) fn update_pools(&mut self, classes: &[Class]) -> BTreeMap<Arc<str>, PoolTarget> {
@@ -62,7 +62,7 @@
     pub(super) fn update_targets(
         &mut self,
         peaks: &BTreeMap<Arc<str>, PoolTarget>,
-        inputs: &Inputs,
+        inputs: &PlanningInputs,
     ) -> HashMap<PoolIx, Forecast> {
         let Some(holder) = &self.holder else { return HashMap::new() };
         let mut forecasts = HashMap::new();
--- a/crates/jackdawpierd/src/capacity/holder_state.rs
+++ b/crates/jackdawpierd/src/capacity/holder_state.rs
@@ -22,7 +22,7 @@
 use serde_json::{Value, json};
 
 use super::{
-    Inputs, MILLI,
+    MILLI, PlanningInputs,
     fleet_view::day_kind,
     measures::{DayMeasures, Measures},
 };
@@ -142,7 +142,11 @@
     }
 
     /// Adds the peak of each slot that has ended to the demand patterns, and writes them.
-    pub(super) fn learn_demand(&mut self, peaks: &BTreeMap<Arc<str>, PoolTarget>, inputs: &Inputs) {
+    pub(super) fn learn_demand(
+        &mut self,
+        peaks: &BTreeMap<Arc<str>, PoolTarget>,
+        inputs: &PlanningInputs,
+    ) {
         let slot = inputs.since_epoch.as_secs() / SLOT_LENGTH.as_secs();
         for (service, peak) in peaks {
             let milli = inputs.demand_milli.get(service).copied().unwrap_or(0);
--- a/crates/jackdawpierd/src/commands/run.rs
+++ b/crates/jackdawpierd/src/commands/run.rs
@@ -18,8 +18,8 @@
         eprintln!("can't set up logging: {error}");
         return ExitStatus::Failure;
     }
-    if let Some(clash) = plugin::name_conflicts(&plugin::plugins()).first() {
-        eprintln!("two roles claim {}: {:?}", clash.subject, clash.roles);
+    if let Some(conflict) = plugin::name_conflicts(&plugin::plugins()).first() {
+        eprintln!("several roles register {}: {:?}", conflict.subject, conflict.roles);
         return ExitStatus::Failure;
     }
     let runtime = tokio::runtime::Builder::new_multi_thread()
--- a/crates/jackdawpierd/src/control.rs
+++ b/crates/jackdawpierd/src/control.rs
@@ -25,7 +25,8 @@
 pub(crate) fn spawn(entry: &Arc<Entry>) {
     let entry = Arc::clone(entry);
     tokio::spawn(async move {
-        let mut control = Control { releasing_since: HashMap::new(), next_slow_tick_at: Now::ZERO };
+        let mut control =
+            ControlLoop { releasing_since: HashMap::new(), next_slow_tick_at: Now::ZERO };
         loop {
             tokio::time::sleep(TICK_INTERVAL).await;
             control.tick(&entry);
@@ -33,12 +34,12 @@
     });
 }
 
-struct Control {
+struct ControlLoop {
     releasing_since: HashMap<String, Now>,
     next_slow_tick_at: Now,
 }
 
-impl Control {
+impl ControlLoop {
     fn tick(&mut self, entry: &Arc<Entry>) {
         tick_membership(entry);
         drop_shards_without_lease(entry);
--- a/crates/jackdawpierd/src/demand.rs
+++ b/crates/jackdawpierd/src/demand.rs
@@ -18,20 +18,20 @@
 /// Smoothed demand of this entry, and the last reports of its peers.
 #[derive(Debug, Default)]
 pub(crate) struct DemandView {
-    own: BTreeMap<ServiceName, f64>,
+    own_averages: BTreeMap<ServiceName, f64>,
     peers: HashMap<EntryId, DemandMilli>,
 }
 
 impl DemandView {
     /// Adds one sample of a service.
     pub(crate) fn sample(&mut self, service: &ServiceName, demand_milli: u32) {
-        let average = self.own.entry(service.clone()).or_default();
+        let average = self.own_averages.entry(service.clone()).or_default();
         *average += (f64::from(demand_milli) - *average) / SMOOTHING_SAMPLES;
     }
 
     /// Returns the demand that this entry reports to its peers.
-    pub(crate) fn own(&self) -> DemandMilli {
-        self.own.iter().map(|(service, milli)| (service.clone(), *milli as u32)).collect()
+    pub(crate) fn own_report(&self) -> DemandMilli {
+        self.own_averages.iter().map(|(service, milli)| (service.clone(), *milli as u32)).collect()
     }
 
     /// Records the demand that a peer reported.
@@ -46,7 +46,7 @@
 
     /// Returns the demand of every service, summed over all entries.
     pub(crate) fn total(&self) -> DemandMilli {
-        let mut total = self.own();
+        let mut total = self.own_report();
         for (service, milli) in self.peers.values().flatten() {
             *total.entry(service.clone()).or_default() += milli;
         }
--- a/crates/jackdawpierd/src/executor_client.rs
+++ b/crates/jackdawpierd/src/executor_client.rs
@@ -111,7 +111,7 @@
         let outcome = match &body {
             _ if is_not_run => AttemptOutcome::Declined { is_leaving },
             Err(_) => AttemptOutcome::Lost,
-            // Without a length or chunked encoding, a complete body can't be told from a truncated one.
+            // Without a length or chunked encoding, a complete body looks like a truncated one.
             Ok(body) if !is_delimited && !body.is_empty() => AttemptOutcome::Lost,
             Ok(_) if echoed_id.is_some_and(|id| id != work.request_id) => AttemptOutcome::Lost,
             Ok(_) if status >= MIN_SERVER_ERROR_STATUS => AttemptOutcome::Failed,
--- a/crates/jackdawpierd/src/heartbeats.rs
+++ b/crates/jackdawpierd/src/heartbeats.rs
@@ -61,7 +61,7 @@
         incarnation: entry.incarnation,
         is_ready,
         store_age: coordination.configuration.store_age(now),
-        demand_milli: entry.demand().own(),
+        demand_milli: entry.demand().own_report(),
         in_force: coordination.configuration.revisions(),
     }
 }
--- a/crates/jackdawpierd/src/metrics.rs
+++ b/crates/jackdawpierd/src/metrics.rs
@@ -155,17 +155,17 @@
 
     /// Sets the gauges of the capacity role; the holder alone has pools.
     fn set_capacity_gauges(&self, entry: &Entry) {
-        let figures = entry.capacity.figures();
+        let gauges = entry.capacity.gauges();
         self.pool_margin.clear();
         self.pool_buffer.clear();
-        for (pool, margin, buffer) in figures.pools {
+        for (pool, margin, buffer) in gauges.pools {
             let labels = PoolLabels { pool };
             self.pool_margin.get_or_create(&labels).set(margin);
             self.pool_buffer.get_or_create(&labels).set(buffer);
         }
-        self.wave_out.set(figures.wave_out as i64);
-        self.wave_stopped.set(i64::from(figures.is_wave_stopped));
-        self.moves.set(figures.moves as i64);
+        self.wave_out.set(gauges.wave_out as i64);
+        self.wave_stopped.set(i64::from(gauges.is_wave_stopped));
+        self.moves.set(gauges.moves as i64);
     }
 
     /// Returns the metrics in the text format, after updating the gauges from `entry`.
--- a/crates/jackdawpierd/src/operators.rs
+++ b/crates/jackdawpierd/src/operators.rs
@@ -82,7 +82,7 @@
         Ok(count) if count > MAX_CHANGE_BYTES => {
             text(413, format!("the change has more than {MAX_CHANGE_BYTES} bytes\n"))
         }
-        Ok(_) => answer(entry, runtime, &request.method().clone(), request.url(), &body),
+        Ok(_) => handle_request(entry, runtime, &request.method().clone(), request.url(), &body),
         Err(error) => text(400, format!("{error}\n")),
     };
     let header = |name: &str, value: &str| {
@@ -99,14 +99,20 @@
     let _ = request.respond(response);
 }
 
-fn answer(entry: &Arc<Entry>, runtime: &Handle, method: &Method, url: &str, body: &str) -> Answer {
+fn handle_request(
+    entry: &Arc<Entry>,
+    runtime: &Handle,
+    method: &Method,
+    url: &str,
+    body: &str,
+) -> Answer {
     match (method, url) {
         (Method::Get, "/healthz") => text(200, "ok\n"),
         (Method::Get, "/readyz") if entry.is_stopping() => text(503, "stopping\n"),
         (Method::Get, "/readyz") if entry.is_ready() => text(200, "ready\n"),
         (Method::Get, "/readyz") => text(503, "no configuration, or cut off\n"),
         (Method::Get, "/metrics") => text(200, entry.metrics.scrape(entry)),
-        (Method::Get, "/v1/status") => json(200, &status::gather(entry)),
+        (Method::Get, "/v1/status") => json(200, &status::collect(entry)),
         (Method::Post, "/v1/apply") => match serde_json::from_str(body) {
             Ok(change) => runtime.block_on(apply(entry, change)),
             Err(error) => text(400, format!("{error}\n")),
--- a/crates/jackdawpierd/src/router.rs
+++ b/crates/jackdawpierd/src/router.rs
@@ -79,14 +79,14 @@
     is_repeatable: bool,
 ) -> Outcome {
     let deadline = entry.now() + work.time_left;
-    let mut last = Outcome::NotRun {
+    let mut last_outcome = Outcome::NotRun {
         reason: RefusalReason::NoOwner,
         retry_after: entry.settings.timing.member_lease,
     };
     for _ in 0..OWNER_ATTEMPTS {
         work.time_left = deadline.saturating_sub(entry.now());
         if work.time_left.is_zero() {
-            return last;
+            return last_outcome;
         }
         match choose_target(entry, &work, needs_owner) {
             (RouteTarget::Local, _) => {
@@ -102,9 +102,9 @@
                     Err(PeerError::NotSent { .. }) => remove_contact(entry, &peer),
                     Err(error @ PeerError::Lost { .. }) => {
                         remove_contact(entry, &peer);
-                        last = Outcome::Unknown { detail: error.to_string() };
+                        last_outcome = Outcome::Unknown { detail: error.to_string() };
                         if !is_repeatable {
-                            return last;
+                            return last_outcome;
                         }
                         continue;
                     }
@@ -116,7 +116,7 @@
             tokio::time::sleep(OWNER_RETRY_INTERVAL).await;
         }
     }
-    last
+    last_outcome
 }
 
 /// Returns whether the entry refused the work because its shard is changing owners.
--- a/crates/jackdawpierd/src/service_state.rs
+++ b/crates/jackdawpierd/src/service_state.rs
@@ -237,8 +237,8 @@
         actions
     }
 
-    /// Records the outcome of a key; if the shard was lost meanwhile, keeps it for queries of the new
-    /// owner.
+    /// Records the outcome of a key. If the shard was lost since the intent, keeps the outcome for
+    /// queries of the new owner.
     fn record_key_outcome(&mut self, now: Now, key: &RequestKey, outcome: &Outcome) -> Vec<Action> {
         let Some(owned) = &mut self.owned else {
             self.lost_shard_keys.record_outcome(now, key, outcome);
--- a/crates/jackdawpierd/src/status.rs
+++ b/crates/jackdawpierd/src/status.rs
@@ -71,7 +71,7 @@
 }
 
 /// Collects the status.
-pub(crate) fn gather(entry: &Arc<Entry>) -> Status {
+pub(crate) fn collect(entry: &Arc<Entry>) -> Status {
     use jackdawpier_kernel::instance::{InstanceRole, InstanceState};
     let is_ready = entry.is_ready();
     let instances = entry.instances();
--- a/crates/jackdawpierd/src/traces.rs
+++ b/crates/jackdawpierd/src/traces.rs
@@ -43,7 +43,7 @@
 
 impl Traces {
     pub(crate) fn new(settings: &Settings) -> Self {
-        let provider = provider(settings).unwrap_or_else(|error| {
+        let provider = build_provider(settings).unwrap_or_else(|error| {
             log::error!(event = "traces_off"; "{error}");
             None
         });
@@ -129,10 +129,10 @@
     }
 }
 
-fn provider(settings: &Settings) -> Result<Option<SdkTracerProvider>, String> {
+fn build_provider(settings: &Settings) -> Result<Option<SdkTracerProvider>, String> {
     let traces = &settings.traces;
-    let share = f64::from(traces.sampled_permille) / 1000.0;
-    let sampler = Sampler::ParentBased(Box::new(Sampler::TraceIdRatioBased(share)));
+    let sampled_fraction = f64::from(traces.sampled_permille) / 1000.0;
+    let sampler = Sampler::ParentBased(Box::new(Sampler::TraceIdRatioBased(sampled_fraction)));
     let resource = Resource::builder().with_service_name("jackdawpierd").build();
     let builder = SdkTracerProvider::builder().with_sampler(sampler).with_resource(resource);
     if let Some(url) = &traces.collector_url {
@@ -190,7 +190,7 @@
     file: Arc<Mutex<File>>,
 }
 
-fn micros(time: SystemTime) -> u64 {
+fn unix_micros(time: SystemTime) -> u64 {
     time.duration_since(UNIX_EPOCH).map_or(0, |since| since.as_micros() as u64)
 }
 
@@ -208,8 +208,8 @@
                 "span_id": span.span_context.span_id().to_string(),
                 "parent_span_id": span.parent_span_id.to_string(),
                 "name": span.name,
-                "start_us": micros(span.start_time),
-                "end_us": micros(span.end_time),
+                "start_us": unix_micros(span.start_time),
+                "end_us": unix_micros(span.end_time),
                 "attributes": attributes,
             });
             lines.push_str(&line.to_string());
--- a/crates/jackdawpierd/src/writer_query.rs
+++ b/crates/jackdawpierd/src/writer_query.rs
@@ -38,7 +38,7 @@
 }
 
 impl WriterQuery<'_> {
-    /// Queries the writer until it reports a final state or that it has none, or is gone.
+    /// Queries the writer until it reports a final state or no state, or becomes unreachable.
     ///
     /// While the writer's request runs, the repeat waits for its outcome, as it would at a single
     /// owner. A writer that sends heartbeats but doesn't answer is queried for one lease after the
