--- a/crates/jackdawpier_settings/src/declaration.rs
+++ b/crates/jackdawpier_settings/src/declaration.rs
@@ -1,7 +1,7 @@
-//! Class declarations: the targets through which operators drive the system.
+//! Class declarations: the targets that operators set for the system.
 //!
-//! A declaration holds targets only; a weight or an instance address is refused with the reason
-//! (rule JP102). The day's pattern of demand is learned and therefore not declared.
+//! A declaration holds targets only. A weight or an instance address is rejected (rule JP102). The
+//! daily pattern of demand is learned, so it isn't declared.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,9 +15,9 @@
 pub struct DeclarationOptions {
     /// Name of the deployment, which is also the name of the stored document.
     pub deployment: Spanned<String>,
-    /// The classes of work.
+    /// Classes of work.
     pub classes: Vec<ClassOptions>,
-    /// Ceilings for the whole deployment.
+    /// Limits for the whole deployment.
     #[serde(default)]
     pub ceilings: CeilingOptions,
 }
@@ -26,48 +26,48 @@
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ClassOptions {
-    /// Name of the class, which callers put first in the path.
+    /// Name of the class: the first segment of the request path.
     pub name: Spanned<String>,
-    /// The service whose executors do the work.
+    /// Service whose executors do the work.
     pub service: Spanned<String>,
-    /// What kind of work it is.
+    /// Kind of work.
     pub kind: WorkKind,
-    /// Whether running a request twice does no harm.
+    /// Whether a request may safely run twice.
     #[serde(default)]
     pub idempotent: bool,
     /// Time within which work of this class must finish.
     pub finish_within_ms: Spanned<u64>,
-    /// Instances that the class needs at its peak.
+    /// Number of instances that the class needs at peak demand.
     pub capacity_instances: Spanned<u32>,
-    /// Instances by which it may fall short of its need.
+    /// Number of instances by which the class may fall short of its need; 0 when absent.
     #[serde(default)]
     pub may_lose_instances: Option<Spanned<u32>>,
-    /// The largest failure domain whose loss it must survive.
+    /// Largest failure domain whose loss the class must survive.
     #[serde(default)]
     pub survive: FailureDomain,
 }
 
-/// Ceilings that say what a deployment prefers, as targets.
+/// Preferred limits of a deployment, as targets.
 #[derive(Debug, Default, Clone, Serialize, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
 pub struct CeilingOptions {
-    /// Most instances that are given up, and so join again, in a day. What keeps a target is moved
-    /// all the same.
+    /// Maximum number of instances that are released, and so join again, in a day. Moves that a
+    /// class's target requires aren't limited.
     pub moves_per_day: Option<u32>,
-    /// Spare instances aimed at: a surplus is given up promptly. What survives the worst failure
-    /// domain is held all the same.
+    /// Target number of spare instances; a surplus is released promptly. Instances needed to
+    /// survive the worst failure domain are kept regardless.
     pub buffer_instances: Option<u32>,
 }
 
-/// Kinds of work, by how a caller waits for it.
+/// Kinds of work, by how the caller waits for the result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum WorkKind {
-    /// The caller waits and expects an instant answer.
+    /// Interactive: the caller waits and expects an immediate answer.
     Quick,
-    /// The caller waits for a heavy answer until its deadline.
+    /// The caller waits for an expensive answer until its deadline.
     Report,
-    /// The work is queued durably and may wait.
+    /// The work is queued durably and runs later.
     Refresh,
 }
 
@@ -88,14 +88,14 @@
     Zone,
 }
 
-/// The resolved declaration, as stored and as every entry applies it.
+/// Resolved declaration, as stored and as applied by every entry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Declaration {
     /// Name of the deployment.
     pub deployment: String,
-    /// The classes, in the order of their names.
+    /// Classes, sorted by name.
     pub classes: Vec<Class>,
-    /// Ceilings for the whole deployment.
+    /// Limits for the whole deployment.
     pub ceilings: CeilingOptions,
 }
 
@@ -104,19 +104,19 @@
 pub struct Class {
     /// Name of the class.
     pub name: ClassName,
-    /// The service whose executors do the work.
+    /// Service whose executors do the work.
     pub service: ServiceName,
-    /// What kind of work it is.
+    /// Kind of work.
     pub kind: WorkKind,
-    /// Whether running a request twice does no harm.
+    /// Whether a request may safely run twice.
     pub idempotent: bool,
     /// Time within which work must finish, in milliseconds.
     pub finish_within_ms: u64,
-    /// Instances needed at the peak.
+    /// Number of instances needed at peak demand.
     pub capacity_instances: u32,
-    /// Instances by which it may fall short.
+    /// Number of instances by which the class may fall short of its need.
     pub may_lose_instances: u32,
-    /// Failure domain whose loss it survives.
+    /// Failure domain whose loss the class must survive.
     pub survive: FailureDomain,
 }
 
@@ -128,14 +128,15 @@
 }
 
 impl Declaration {
-    /// Returns the class called `name`.
+    /// Returns the class named `name`.
     pub fn class(&self, name: &str) -> Option<&Class> {
         self.classes.iter().find(|class| &*class.name == name)
     }
 }
 
 impl DeclarationOptions {
-    /// Resolves the declaration; call it only after the rules found nothing.
+    /// Resolves the declaration. Must only be called if [`crate::rules::check_declaration`] reported
+    /// no findings.
     pub fn resolve(&self) -> Declaration {
         let mut classes: Vec<Class> = self.classes.iter().map(ClassOptions::resolve).collect();
         classes.sort_by(|a, b| a.name.cmp(&b.name));
--- a/crates/jackdawpier_settings/src/options.rs
+++ b/crates/jackdawpier_settings/src/options.rs
@@ -1,44 +1,45 @@
-//! What an operator may write in the daemon's settings file; every timing and limit is optional.
+//! The daemon's settings file as written; every timing and limit is optional.
 //!
-//! Resolved once into [`Settings`](crate::settings::Settings), where every value is present.
+//! [`Options::resolve`] fills in the defaults and returns
+//! [`Settings`](crate::settings::Settings).
 
 use serde::Deserialize;
 use serde_saphyr::Spanned;
 
-/// The whole settings file of `jackdawpierd`.
+/// Settings file of `jackdawpierd`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Options {
-    /// Name of this entry instance, unique among the live ones.
+    /// Name of this entry; unique among live entries.
     pub entry: Spanned<String>,
-    /// Availability zone of this instance.
+    /// Availability zone of this entry.
     pub zone: Spanned<String>,
-    /// Addresses that this process listens on; port 0 takes a free one.
+    /// Addresses to listen on; port 0 selects a free port.
     pub listen: ListenOptions,
-    /// The platform's configuration store, as `http://IP:PORT`.
+    /// URL of the platform's configuration store, as `http://IP:PORT`.
     pub store_url: Spanned<String>,
-    /// The platform's instance list, as `http://IP:PORT`.
+    /// URL of the platform's instance list, as `http://IP:PORT`.
     pub instance_list_url: Spanned<String>,
-    /// Keys for mutual TLS between entries.
+    /// Certificates and key for mutual TLS between entries.
     pub peer_tls: PeerTlsOptions,
-    /// Peer addresses to ask for configuration when the store is down at start.
+    /// Peer addresses to fetch the configuration from if the store is unavailable at startup.
     #[serde(default)]
     pub seed_peers: Vec<Spanned<String>>,
-    /// Limits on what callers may send.
+    /// Limits on callers.
     #[serde(default)]
     pub limits: LimitOptions,
-    /// Leases, heartbeats and waits.
+    /// Leases, intervals and timeouts.
     #[serde(default)]
     pub timing: TimingOptions,
-    /// Where traces go.
+    /// Destination of traces.
     #[serde(default)]
     pub traces: TraceOptions,
-    /// Log level: `error`, `warn`, `info` or `debug`; `info` when absent.
+    /// Log level: `error`, `warn`, `info` or `debug`; default `info`.
     #[serde(default)]
     pub log_level: Option<Spanned<String>>,
 }
 
-/// Listening addresses by audience; callers never reach the other two.
+/// Listening addresses by audience. Callers have no access to the other two.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenOptions {
@@ -46,15 +47,15 @@
     pub callers: Spanned<String>,
     /// TCP address for operators, metrics and health checks.
     pub operators: Spanned<String>,
-    /// UDP address for other entries.
+    /// UDP address for peers (other entries).
     pub peers: Spanned<String>,
 }
 
-/// Files with the keys for mutual TLS, all PEM.
+/// PEM files for mutual TLS.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PeerTlsOptions {
-    /// Certificate of the authority that signs every entry's certificate.
+    /// Certificate of the authority that signs the certificates of all entries.
     pub authority_file: String,
     /// This entry's certificate.
     pub certificate_file: String,
@@ -66,15 +67,15 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct LimitOptions {
-    /// Open connections of callers.
+    /// Maximum number of open connections from callers.
     pub connections: Option<usize>,
-    /// Time for a caller to send a whole request head, and longest pause within a body.
+    /// Timeout for receiving a whole request head, and for each pause within a body.
     pub read_timeout_ms: Option<u64>,
-    /// Largest request body.
+    /// Maximum size of a request body.
     pub body_bytes: Option<Spanned<usize>>,
-    /// Largest answer taken from an executor.
+    /// Maximum size of an executor's answer.
     pub answer_bytes: Option<Spanned<usize>>,
-    /// Requests queued for one customer of one class.
+    /// Maximum number of queued requests per customer and class.
     pub queue_per_customer: Option<usize>,
 }
 
@@ -82,34 +83,34 @@
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TimingOptions {
-    /// Time after which a silent entry loses its membership.
+    /// Time without contact after which an entry loses its membership.
     pub member_lease_ms: Option<Spanned<u64>>,
-    /// Time without store and peers after which an entry stops serving.
+    /// Time without contact to the store and all peers after which an entry stops serving.
     pub isolation_limit_ms: Option<Spanned<u64>>,
-    /// Time between two heartbeats to each peer.
+    /// Interval between heartbeats to each peer.
     pub heartbeat_interval_ms: Option<u64>,
-    /// Time between two readings of the instance list.
+    /// Interval between reads of the instance list.
     pub instance_list_interval_ms: Option<u64>,
-    /// Least time between two writes of one cell's log.
+    /// Minimum interval between two writes of a cell's log.
     pub commit_interval_ms: Option<u64>,
-    /// Time that the answer of a keyed request is kept for a repeat.
+    /// Time for which the answer to a request with an idempotency key is kept for retries.
     pub answer_retention_ms: Option<u64>,
-    /// Time between "not ready" and the first refusal at a planned stop.
+    /// Time between reporting "not ready" and rejecting new requests during a planned stop.
     pub stop_notice_ms: Option<u64>,
-    /// Longest wait for requests in flight at a planned stop.
+    /// Maximum time to wait for requests in flight during a planned stop.
     pub drain_limit_ms: Option<u64>,
-    /// Lease of a task that a worker runs.
+    /// Lease duration of a task on a worker.
     pub task_lease_ms: Option<u64>,
 }
 
-/// Where spans go: a collector, else a file, else nowhere.
+/// Destination of trace spans: a collector, otherwise a file, otherwise none.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TraceOptions {
-    /// OTLP over HTTP, as `http://IP:PORT/v1/traces`.
+    /// URL of a collector for OTLP over HTTP, as `http://IP:PORT/v1/traces`.
     pub collector_url: Option<Spanned<String>>,
-    /// File of spans, one JSON object a line; only without a collector.
+    /// File for spans, one JSON object per line; used only without a collector.
     pub span_file: Option<String>,
-    /// Share of requests traced when the caller sent no trace context.
+    /// Share of requests without a trace context for which a trace is started, in permille.
     pub sampled_permille: Option<u32>,
 }
--- a/crates/jackdawpier_settings/src/reference.rs
+++ b/crates/jackdawpier_settings/src/reference.rs
@@ -1,17 +1,17 @@
-//! Generates `docs/SETTINGS.md` from the source, so that page and code can't differ.
+//! Generates `docs/SETTINGS.md` from the source code, so that the page matches the code.
 
 use std::fmt::Write;
 
 use crate::rules::{RULES, Rule};
 
-/// Source of the options, whose doc comments are the reference text.
+/// Source of the options; its doc comments are the reference text.
 const OPTIONS_SOURCE: &str = include_str!("options.rs");
 /// Source of the declarations.
 const DECLARATION_SOURCE: &str = include_str!("declaration.rs");
 /// Source of the defaults.
 const SETTINGS_SOURCE: &str = include_str!("settings.rs");
 
-/// Returns the whole page.
+/// Returns the page as Markdown.
 pub fn settings_page() -> String {
     let mut page = String::from(
         "# Settings and declarations\n\nGenerated from the code by \
--- a/crates/jackdawpier_settings/src/rules.rs
+++ b/crates/jackdawpier_settings/src/rules.rs
@@ -1,7 +1,7 @@
-//! The registry of checks: one rule a file, in a folder by what it checks.
+//! Registry of the rules: one file per rule, in a folder for the kind of file that it checks.
 //!
-//! A rule's module documentation is its user page; [`crate::reference`] prints it into
-//! `docs/SETTINGS.md`. `CONTRIBUTING.md` tells how to add a rule.
+//! A rule's module documentation is its user page, which [`crate::reference`] copies into
+//! `docs/SETTINGS.md`. `CONTRIBUTING.md` describes how to add a rule.
 
 pub mod declaration;
 pub mod settings;
@@ -11,19 +11,19 @@
 
 use crate::{declaration::DeclarationOptions, options::Options};
 
-/// What is known about a rule besides its check.
+/// Metadata of a rule.
 #[derive(Debug, Clone, Copy)]
 pub struct Rule {
-    /// Stable code.
+    /// Stable code, such as `JP001`.
     pub code: &'static str,
-    /// Short name, as in the file name.
+    /// Short name, the same as the file name.
     pub name: &'static str,
-    /// Source file, whose module documentation is the user page.
+    /// Source text of the rule's file; its module documentation is the user page.
     pub source: &'static str,
 }
 
 impl Rule {
-    /// Builds a finding of this rule.
+    /// Returns a finding of this rule.
     pub fn finding(
         &self,
         file: &str,
@@ -37,7 +37,7 @@
     }
 }
 
-/// Collects the findings of one file.
+/// Collects the findings in one file.
 #[derive(Debug)]
 pub struct Checker<'a> {
     file: &'a str,
@@ -45,7 +45,7 @@
 }
 
 impl Checker<'_> {
-    /// Reports that the value at `at` breaks `rule`.
+    /// Adds a finding: the value at `at` violates `rule`.
     pub fn report<T>(
         &mut self,
         rule: &Rule,
@@ -79,7 +79,7 @@
                 source: include_str!(concat!("rules/", $folder, "/", $name, ".rs")),
             };
         )*
-        /// Every rule, in the order of its code.
+        /// All rules, sorted by code.
         pub const RULES: &[Rule] = &[$($constant),*];
     };
 }
@@ -99,7 +99,7 @@
     LOSS_ABOVE_CAPACITY = "JP105", "declaration" / "loss_above_capacity";
 }
 
-/// Runs every settings rule.
+/// Checks a settings file against all rules except those that the parser applies.
 pub fn check_options(file: &str, options: &Options) -> Vec<Diagnostic> {
     let mut checker = Checker { file, findings: Vec::new() };
     settings::address::check(options, &mut checker);
@@ -111,7 +111,7 @@
     checker.findings
 }
 
-/// Runs every declaration rule.
+/// Checks a declaration against all rules except those that the parser applies.
 pub fn check_declaration(file: &str, options: &DeclarationOptions) -> Vec<Diagnostic> {
     let mut checker = Checker { file, findings: Vec::new() };
     declaration::class_name::check(options, &mut checker);
--- a/crates/jackdawpier_settings/src/rules/declaration/class_name.rs
+++ b/crates/jackdawpier_settings/src/rules/declaration/class_name.rs
@@ -1,10 +1,10 @@
-//! A deployment, class or service has a name that paths and store keys can't carry.
+//! The name of a deployment, class or service is invalid in paths and store keys.
 //!
-//! Example: `name: a/b` is refused; write `a-b`.
+//! Example: `name: a/b` is rejected; write `a-b`.
 
 use crate::{
     declaration::DeclarationOptions,
-    rules::{CLASS_NAME, Checker, settings::empty_name::is_name},
+    rules::{CLASS_NAME, Checker, settings::empty_name::is_valid_name},
 };
 
 pub(crate) fn check(options: &DeclarationOptions, checker: &mut Checker<'_>) {
@@ -13,8 +13,8 @@
         .iter()
         .flat_map(|class| [("classes.name", &class.name), ("classes.service", &class.service)]);
     let names = std::iter::once(("deployment", &options.deployment)).chain(classes);
-    for (field, name) in names.filter(|(_, name)| !is_name(&name.value)) {
-        let message = format!("`{}` is not a name", name.value);
+    for (field, name) in names.filter(|(_, name)| !is_valid_name(&name.value)) {
+        let message = format!("`{}` is not a valid name", name.value);
         checker.report(
             &CLASS_NAME,
             name,
--- a/crates/jackdawpier_settings/src/rules/declaration/duplicate_class.rs
+++ b/crates/jackdawpier_settings/src/rules/declaration/duplicate_class.rs
@@ -1,8 +1,8 @@
 //! Two classes have the same name.
 //!
-//! The path of a request names its class, so the second declaration could never be reached.
+//! The path of a request selects its class by name, so the second declaration would be unreachable.
 //!
-//! Example: two entries `name: render`; give each class one entry.
+//! Example: two classes with `name: render`; declare each class once.
 
 use std::collections::BTreeSet;
 
@@ -15,13 +15,13 @@
     let mut seen = BTreeSet::new();
     for class in &options.classes {
         if !seen.insert(class.name.value.as_str()) {
-            let message = format!("`{}` is declared twice", class.name.value);
+            let message = format!("`{}` is declared more than once", class.name.value);
             checker.report(
                 &DUPLICATE_CLASS,
                 &class.name,
                 "classes.name",
                 message,
-                "one entry a class",
+                "declare each class once",
             );
         }
     }
--- a/crates/jackdawpier_settings/src/rules/declaration/forbidden_key.rs
+++ b/crates/jackdawpier_settings/src/rules/declaration/forbidden_key.rs
@@ -1,8 +1,8 @@
-//! The declaration names a weight or an instance address.
+//! The declaration contains a weight or an instance address.
 //!
-//! Operators state targets; which instance does what follows from them. A weight or an address
-//! would go stale with the next failure and set one instance aside.
+//! Operators set targets, and the system assigns the instances. A weight or an address would be
+//! outdated after the next failure, and would exempt single instances from the assignment.
 //!
 //! Example: `weight: 3` under a class; raise `capacity_instances` instead.
 //!
-//! The parser applies this rule itself, in [`crate::loader`].
+//! The parser in [`crate::loader`] applies this rule.
--- a/crates/jackdawpier_settings/src/rules/declaration/loss_above_capacity.rs
+++ b/crates/jackdawpier_settings/src/rules/declaration/loss_above_capacity.rs
@@ -1,6 +1,6 @@
-//! A class may lose all that it needs.
+//! `may_lose_instances` is not below `capacity_instances`.
 //!
-//! A budget of the whole capacity would let a wave take the class down.
+//! If a class could lose all its instances, a maintenance wave could take it down.
 //!
 //! Example: `capacity_instances: 4` with `may_lose_instances: 4`; write 1.
 
@@ -23,7 +23,7 @@
                 loss,
                 "classes.may_lose_instances",
                 message,
-                "fewer than the class needs",
+                "less than capacity_instances",
             );
         }
     }
--- a/crates/jackdawpier_settings/src/rules/declaration/zero_target.rs
+++ b/crates/jackdawpier_settings/src/rules/declaration/zero_target.rs
@@ -1,9 +1,9 @@
 //! A target is zero, or longer than a day.
 //!
-//! A class without capacity or time can't be met, and a time beyond a day has no deadline to
-//! keep.
+//! A target of zero instances or zero time can't be met, and requests have no deadlines beyond a
+//! day.
 //!
-//! Example: `finish_within_ms: 0`; write the time that users accept.
+//! Example: `finish_within_ms: 0`; write the longest time that users accept.
 
 use crate::{
     declaration::DeclarationOptions,
@@ -16,7 +16,7 @@
     for class in &options.classes {
         let within = &class.finish_within_ms;
         if within.value == 0 || within.value > DAY_MS {
-            let message = format!("{} ms is impossible", within.value);
+            let message = format!("{} ms is out of range", within.value);
             checker.report(
                 &ZERO_TARGET,
                 within,
@@ -31,7 +31,7 @@
                 &ZERO_TARGET,
                 capacity,
                 "classes.capacity_instances",
-                "is zero",
+                "must not be zero",
                 "at least 1",
             );
         }
--- a/crates/jackdawpier_settings/src/rules/settings/address.rs
+++ b/crates/jackdawpier_settings/src/rules/settings/address.rs
@@ -1,9 +1,9 @@
-//! An address is not an IP number with a port, or a URL does not start with `http://`.
+//! An address is not an IP address with a port, or a URL is not `http://IP:PORT`.
 //!
-//! Processes talk by IP numbers; a name would need a resolver that may be down just when the
-//! address is needed.
+//! Processes connect by IP address. A host name would need a resolver, which may be unavailable
+//! when the address is needed.
 //!
-//! Example: `callers: localhost:8080` is refused; write `127.0.0.1:8080`.
+//! Example: `callers: localhost:8080` is rejected; write `127.0.0.1:8080`.
 
 use std::net::SocketAddr;
 
@@ -33,7 +33,7 @@
 
 fn check_socket(field: &str, value: &Spanned<String>, checker: &mut Checker<'_>) {
     if value.value.parse::<SocketAddr>().is_err() {
-        let message = format!("`{}` is not an IP number with a port", value.value);
+        let message = format!("`{}` is not an IP address with a port", value.value);
         checker.report(&ADDRESS, value, field, message, "for example 127.0.0.1:8080");
     }
 }
--- a/crates/jackdawpier_settings/src/rules/settings/log_level.rs
+++ b/crates/jackdawpier_settings/src/rules/settings/log_level.rs
@@ -1,8 +1,8 @@
-//! The log level is none of the known ones.
+//! The log level is unknown.
 //!
-//! A misspelt level that fell back to a default would hide the events that were asked for.
+//! If a misspelt level fell back to the default, the requested events would be missing from the log.
 //!
-//! Example: `log_level: verbose` is refused; write `debug`.
+//! Example: `log_level: verbose` is rejected; write `debug`.
 
 use crate::{
     options::Options,
@@ -14,7 +14,7 @@
 pub(crate) fn check(options: &Options, checker: &mut Checker<'_>) {
     let Some(level) = &options.log_level else { return };
     if !LEVELS.contains(&level.value.as_str()) {
-        let message = format!("`{}` is not a level", level.value);
+        let message = format!("`{}` is not a log level", level.value);
         checker.report(&LOG_LEVEL, level, "log_level", message, LEVELS.join(", "));
     }
 }
--- a/crates/jackdawpier_settings/src/rules/settings/message_size.rs
+++ b/crates/jackdawpier_settings/src/rules/settings/message_size.rs
@@ -1,29 +1,29 @@
-//! Bodies or answers are allowed that are longer than what entries can send each other.
+//! A limit on bodies or answers exceeds the size of a message between entries.
 //!
-//! A request may have to be decided by another entry. One that doesn't fit into a message is lost on
-//! its way, and the entry that it was sent to is taken for unreachable.
+//! A request may be forwarded to another entry. If it doesn't fit into a message, it is dropped, and
+//! the target entry is considered unreachable.
 //!
-//! Example: `body_bytes: 33554432` is refused; write at most 16711680.
+//! Example: `body_bytes: 33554432` is rejected; write at most 16711680.
 
 use crate::{
     options::Options,
     rules::{Checker, MESSAGE_SIZE},
 };
 
-/// Longest body or answer that entries can send each other beside its path and names.
+/// Maximum size of a body or answer in a message between entries, besides its path and names.
 pub const MAX_PEER_PAYLOAD_BYTES: usize = 16_711_680;
 
 pub(crate) fn check(options: &Options, checker: &mut Checker<'_>) {
     let limits = &options.limits;
-    let given =
+    let size_limits =
         [("limits.body_bytes", &limits.body_bytes), ("limits.answer_bytes", &limits.answer_bytes)];
-    for (field, limit) in given {
+    for (field, limit) in size_limits {
         let Some(limit) = limit.as_ref().filter(|limit| limit.value > MAX_PEER_PAYLOAD_BYTES)
         else {
             continue;
         };
         let message = format!("{} bytes don't fit into a message between entries", limit.value);
-        let fix = format!("at most {MAX_PEER_PAYLOAD_BYTES} bytes");
-        checker.report(&MESSAGE_SIZE, limit, field, message, fix);
+        let suggestion = format!("at most {MAX_PEER_PAYLOAD_BYTES} bytes");
+        checker.report(&MESSAGE_SIZE, limit, field, message, suggestion);
     }
 }
--- a/crates/jackdawpier_settings/src/rules/settings/same_address.rs
+++ b/crates/jackdawpier_settings/src/rules/settings/same_address.rs
@@ -1,7 +1,7 @@
 //! Two listening addresses are the same.
 //!
-//! Callers must not reach the operators' port, so the two can't share an address. Port 0 takes a
-//! free port each time and may stand several times.
+//! Callers must have no access to the operators' port, so the two can't share an address. Port 0
+//! selects a free port each time and may be used more than once.
 //!
 //! Example: `callers` and `operators` both `10.0.0.5:8080`.
 
@@ -20,8 +20,8 @@
             &SAME_ADDRESS,
             &listen.operators,
             "listen.operators",
-            "is the address of listen.callers",
-            "a port of its own",
+            "is the same address as listen.callers",
+            "use a different port",
         );
     }
 }
--- a/crates/jackdawpier_settings/src/settings.rs
+++ b/crates/jackdawpier_settings/src/settings.rs
@@ -1,4 +1,4 @@
-//! The resolved settings, with every value present and checked.
+//! Resolved settings, with every value present and validated.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -8,12 +8,12 @@
 
 use crate::options::{LimitOptions, Options, TimingOptions};
 
-/// Everything that the daemon needs to know about itself.
+/// Resolved settings of the daemon.
 #[derive(Debug, Clone)]
 pub struct Settings {
-    /// Name of this entry instance.
+    /// Name of this entry.
     pub entry: EntryId,
-    /// Availability zone of this instance.
+    /// Availability zone of this entry.
     pub zone: ZoneName,
     /// TCP address for callers.
     pub caller_address: SocketAddr,
@@ -21,143 +21,143 @@
     pub operator_address: SocketAddr,
     /// UDP address for peers.
     pub peer_address: SocketAddr,
-    /// Base address of the store.
+    /// Base URL of the store, without a trailing slash.
     pub store_url: String,
-    /// Base address of the instance list.
+    /// Base URL of the instance list, without a trailing slash.
     pub instance_list_url: String,
-    /// Keys for mutual TLS.
+    /// Certificates and key for mutual TLS.
     pub peer_tls: PeerTls,
-    /// Peers to ask while the store is down.
+    /// Peers to fetch the configuration from while the store is unavailable.
     pub seed_peers: Vec<SocketAddr>,
     /// Limits on callers.
     pub limits: Limits,
-    /// Leases, heartbeats and waits.
+    /// Leases, intervals and timeouts.
     pub timing: Timing,
-    /// Where traces go.
+    /// Destination of traces.
     pub traces: Traces,
-    /// Log level name.
+    /// Name of the log level.
     pub log_level: String,
 }
 
-/// Files with the keys for mutual TLS.
+/// PEM files for mutual TLS.
 #[derive(Debug, Clone)]
 pub struct PeerTls {
-    /// Authority's certificate, PEM.
+    /// Certificate of the authority.
     pub authority_file: String,
-    /// Own certificate, PEM.
+    /// Certificate of this entry.
     pub certificate_file: String,
-    /// Own key, PEM.
+    /// Private key of this entry.
     pub key_file: String,
 }
 
 /// Resolved limits; each field is documented on [`LimitOptions`].
 #[derive(Debug, Clone, Copy)]
 pub struct Limits {
-    /// Open connections of callers.
+    /// Maximum number of open connections from callers.
     pub connections: usize,
-    /// Time to send a whole head, and longest pause within a body.
+    /// Timeout for receiving a whole request head, and for each pause within a body.
     pub read_timeout: Duration,
-    /// Largest request body in bytes.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: usize,
-    /// Largest answer in bytes.
+    /// Maximum size of an executor's answer in bytes.
     pub answer_bytes: usize,
-    /// Queued requests a customer and class.
+    /// Maximum number of queued requests per customer and class.
     pub queue_per_customer: usize,
 }
 
 /// Resolved timings; each field is documented on [`TimingOptions`].
 #[derive(Debug, Clone, Copy)]
 pub struct Timing {
-    /// Member lease.
+    /// Duration of the member lease.
     pub member_lease: Duration,
-    /// Longest service without store and peers.
+    /// Maximum time of serving without contact to the store and peers.
     pub isolation_limit: Duration,
-    /// Heartbeat interval.
+    /// Interval between heartbeats to each peer.
     pub heartbeat_interval: Duration,
-    /// Instance list interval.
+    /// Interval between reads of the instance list.
     pub instance_list_interval: Duration,
-    /// Least time between log writes of a cell.
+    /// Minimum interval between two writes of a cell's log.
     pub commit_interval: Duration,
-    /// Retention of keyed answers.
+    /// Retention of answers to requests with an idempotency key.
     pub answer_retention: Duration,
-    /// Notice before a planned stop refuses.
+    /// Time between reporting "not ready" and rejecting new requests during a planned stop.
     pub stop_notice: Duration,
-    /// Longest drain.
+    /// Maximum time to wait for requests in flight during a planned stop.
     pub drain_limit: Duration,
-    /// Task lease on workers.
+    /// Lease duration of a task on a worker.
     pub task_lease: Duration,
 }
 
-/// Where spans go.
+/// Destination of trace spans.
 #[derive(Debug, Clone)]
 pub struct Traces {
-    /// Collector for OTLP over HTTP.
+    /// URL of a collector for OTLP over HTTP.
     pub collector_url: Option<String>,
-    /// File of spans.
+    /// File for spans.
     pub span_file: Option<String>,
-    /// Share of untraced requests that start a trace.
+    /// Share of requests without a trace context for which a trace is started, in permille.
     pub sampled_permille: u32,
 }
 
 /// Default values, shown in `docs/SETTINGS.md`.
 pub mod defaults {
-    /// Open connections of callers.
+    /// Maximum number of open connections from callers.
     pub const CONNECTIONS: usize = 4096;
-    /// Milliseconds to send a whole head, and of the longest pause within a body.
+    /// Timeout for receiving a request head and for each pause within a body, in milliseconds.
     pub const READ_TIMEOUT_MS: u64 = 5_000;
-    /// Bytes of a request body.
+    /// Maximum size of a request body in bytes.
     pub const BODY_BYTES: usize = 1 << 20;
-    /// Bytes of an answer.
+    /// Maximum size of an executor's answer in bytes.
     pub const ANSWER_BYTES: usize = 8 << 20;
-    /// Queued requests a customer and class.
+    /// Maximum number of queued requests per customer and class.
     pub const QUEUE_PER_CUSTOMER: usize = 256;
-    /// Milliseconds of the member lease.
+    /// Duration of the member lease in milliseconds.
     pub const MEMBER_LEASE_MS: u64 = 3_000;
-    /// Milliseconds without store and peers.
+    /// Maximum time of serving without contact to the store and peers, in milliseconds.
     pub const ISOLATION_LIMIT_MS: u64 = 2_000;
-    /// Milliseconds between heartbeats.
+    /// Interval between heartbeats in milliseconds.
     pub const HEARTBEAT_INTERVAL_MS: u64 = 500;
-    /// Milliseconds between readings of the instance list.
+    /// Interval between reads of the instance list in milliseconds.
     pub const INSTANCE_LIST_INTERVAL_MS: u64 = 500;
-    /// Milliseconds between log writes of a cell.
+    /// Minimum interval between two writes of a cell's log in milliseconds.
     pub const COMMIT_INTERVAL_MS: u64 = 125;
-    /// Milliseconds that a keyed answer is kept.
+    /// Retention of answers to requests with an idempotency key, in milliseconds.
     pub const ANSWER_RETENTION_MS: u64 = 300_000;
-    /// Milliseconds of notice before a planned stop refuses.
+    /// Time between reporting "not ready" and rejecting new requests, in milliseconds.
     pub const STOP_NOTICE_MS: u64 = 500;
-    /// Milliseconds of the longest drain.
+    /// Maximum time to wait for requests in flight during a planned stop, in milliseconds.
     pub const DRAIN_LIMIT_MS: u64 = 30_000;
-    /// Milliseconds of a task lease.
+    /// Lease duration of a task in milliseconds.
     pub const TASK_LEASE_MS: u64 = 5_000;
-    /// Share of untraced requests that start a trace.
+    /// Share of requests without a trace context for which a trace is started, in permille.
     pub const SAMPLED_PERMILLE: u32 = 10;
     /// Log level.
     pub const LOG_LEVEL: &str = "info";
 }
 
 impl LimitOptions {
-    /// Fills every absent limit with its default.
+    /// Replaces every absent limit by its default.
     pub fn resolve(&self) -> Limits {
-        let given = |limit: &Option<Spanned<usize>>| limit.as_ref().map(|limit| limit.value);
+        let unspanned = |limit: &Option<Spanned<usize>>| limit.as_ref().map(|limit| limit.value);
         let read_timeout_ms = self.read_timeout_ms.unwrap_or(defaults::READ_TIMEOUT_MS);
         Limits {
             connections: self.connections.unwrap_or(defaults::CONNECTIONS),
             read_timeout: Duration::from_millis(read_timeout_ms),
-            body_bytes: given(&self.body_bytes).unwrap_or(defaults::BODY_BYTES),
-            answer_bytes: given(&self.answer_bytes).unwrap_or(defaults::ANSWER_BYTES),
+            body_bytes: unspanned(&self.body_bytes).unwrap_or(defaults::BODY_BYTES),
+            answer_bytes: unspanned(&self.answer_bytes).unwrap_or(defaults::ANSWER_BYTES),
             queue_per_customer: self.queue_per_customer.unwrap_or(defaults::QUEUE_PER_CUSTOMER),
         }
     }
 }
 
 impl TimingOptions {
-    /// Fills every absent timing with its default.
+    /// Replaces every absent timing by its default.
     pub fn resolve(&self) -> Timing {
-        let spanned = |value: &Option<Spanned<u64>>| value.as_ref().map(|value| value.value);
+        let unspanned = |value: &Option<Spanned<u64>>| value.as_ref().map(|value| value.value);
         let ms = |value: Option<u64>, default| Duration::from_millis(value.unwrap_or(default));
         Timing {
-            member_lease: ms(spanned(&self.member_lease_ms), defaults::MEMBER_LEASE_MS),
-            isolation_limit: ms(spanned(&self.isolation_limit_ms), defaults::ISOLATION_LIMIT_MS),
+            member_lease: ms(unspanned(&self.member_lease_ms), defaults::MEMBER_LEASE_MS),
+            isolation_limit: ms(unspanned(&self.isolation_limit_ms), defaults::ISOLATION_LIMIT_MS),
             heartbeat_interval: ms(self.heartbeat_interval_ms, defaults::HEARTBEAT_INTERVAL_MS),
             instance_list_interval: ms(
                 self.instance_list_interval_ms,
@@ -173,9 +173,10 @@
 }
 
 impl Options {
-    /// Resolves the options; call it only after [`crate::rules::check_options`] found nothing.
+    /// Resolves the options. Must only be called if [`crate::rules::check_options`] reported no
+    /// findings.
     pub fn resolve(&self) -> Settings {
-        let address = |text: &str| text.parse().expect("rule JP004 admits only socket addresses");
+        let address = |text: &str| text.parse().expect("rule JP004 accepts only socket addresses");
         Settings {
             entry: self.entry.value.as_str().into(),
             zone: self.zone.value.as_str().into(),
--- a/crates/jackdawpier_settings/tests/findings.rs
+++ b/crates/jackdawpier_settings/tests/findings.rs
@@ -1,4 +1,4 @@
-//! What the checks say of each fixture: one line a finding, with code, place and fix.
+//! Findings for each fixture: one line per finding, with code, position and suggested fix.
 
 use std::{fs, path::Path};
 
@@ -8,34 +8,36 @@
     rules::RULES,
 };
 
-/// Findings of every file in a folder of fixtures, in the order of their names.
+/// Returns the findings in all files of a fixture folder, sorted by file name.
 fn findings(folder: &str, check: impl Fn(&str, &str) -> Vec<String>) -> String {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures").join(folder);
     let mut names: Vec<String> = fs::read_dir(&folder)
-        .expect("the fixtures are there")
-        .map(|entry| entry.expect("it can be read").file_name().to_string_lossy().into_owned())
+        .expect("the fixture folder is readable")
+        .map(|entry| {
+            entry.expect("the fixture is readable").file_name().to_string_lossy().into_owned()
+        })
         .collect();
     names.sort();
     let mut all = String::new();
     for name in names {
-        let text = fs::read_to_string(folder.join(&name)).expect("it can be read");
+        let text = fs::read_to_string(folder.join(&name)).expect("the fixture is readable");
         let lines = check(&name, &text);
-        let shown = if lines.is_empty() { "no findings".to_owned() } else { lines.join("\n") };
-        all.push_str(&["== ", &name, "\n", &shown, "\n"].concat());
+        let result = if lines.is_empty() { "no findings".to_owned() } else { lines.join("\n") };
+        all.push_str(&["== ", &name, "\n", &result, "\n"].concat());
     }
     all
 }
 
-fn shown<T>(result: Result<T, Vec<Diagnostic>>) -> Vec<String> {
+fn finding_lines<T>(result: Result<T, Vec<Diagnostic>>) -> Vec<String> {
     result.err().into_iter().flatten().map(|finding| finding.to_string()).collect()
 }
 
 fn settings_findings() -> String {
-    findings("settings", |name, text| shown(load_settings(name, text)))
+    findings("settings", |name, text| finding_lines(load_settings(name, text)))
 }
 
 fn declaration_findings() -> String {
-    findings("declarations", |name, text| shown(load_declaration(name, text)))
+    findings("declarations", |name, text| finding_lines(load_declaration(name, text)))
 }
 
 #[test]
@@ -54,7 +56,7 @@
 fn every_rule() {
     let all = settings_findings() + &declaration_findings();
     for rule in RULES {
-        assert!(all.contains(rule.code), "no fixture shows {} {}", rule.code, rule.name);
-        assert!(rule.source.starts_with("//!"), "{} has no user page", rule.code);
+        assert!(all.contains(rule.code), "no fixture triggers {} {}", rule.code, rule.name);
+        assert!(rule.source.starts_with("//!"), "{} has no module documentation", rule.code);
     }
 }
