--- a/crates/jackdawpier_client/src/lib.rs
+++ b/crates/jackdawpier_client/src/lib.rs
@@ -1,32 +1,32 @@
-//! Blocking HTTP client whose patience counts from the last byte that moved.
+//! Blocking HTTP client whose timeout counts from the last byte sent or received.
 //!
-//! The size of what the store, the instance list, workers and entries send is set by others. A
-//! limit on a whole call would make a document too large for its link one that never arrives: the
-//! reading is given up, begins again from nothing, and keeps the link full. A silent peer is given
-//! up as soon as with such a limit.
+//! The store, the instance list, workers and entries send answers of any size. With a timeout for a
+//! whole call, a document too large for its link would never arrive: each read would be aborted and
+//! started again from the beginning, and would keep the link busy. An unresponsive peer is detected
+//! as fast as with such a timeout.
 
 use std::{io, time::Duration};
 
 use ureq::{Agent, Error, Timeout, config::Config};
 
-/// Least rate at which the body of a call is taken to leave, in bytes a second.
+/// Assumed minimum upload rate of a call's body, in bytes per second.
 const MIN_UPLOAD_BYTES_PER_S: f64 = 100_000.0;
 
-/// How long a client waits, and what it keeps open.
+/// Timeouts and connection limits of a client.
 #[derive(Debug, Clone, Copy)]
 pub struct ClientLimits {
-    /// Time for a connection to open; nothing was sent before.
+    /// Timeout for opening a connection; nothing is sent before that.
     pub connect_timeout: Duration,
-    /// Longest time in which no byte moves, from the first byte sent to the last one received.
+    /// Maximum time without a byte sent or received, from the first byte sent to the last received.
     pub io_timeout: Duration,
-    /// Idle connections kept to one host.
+    /// Maximum number of idle connections kept per host.
     pub max_idle_connections: usize,
 }
 
-/// Returns an agent that gives every answer with its status, whatever that is.
+/// Returns an agent that returns every answer with its status; no status counts as an error.
 ///
-/// The time without a byte is `timeout_per_read` and `timeout_per_write` of its configuration, so a
-/// call that may be quiet for longer, or has a large body ([`upload_time`]), can raise the former.
+/// [`ClientLimits::io_timeout`] sets `timeout_per_read` and `timeout_per_write`. A call that may
+/// wait longer for its answer, or that has a large body ([`upload_time`]), can raise the former.
 pub fn agent(limits: ClientLimits) -> Agent {
     let config = Config::builder()
         .timeout_connect(Some(limits.connect_timeout))
@@ -38,13 +38,13 @@
     config.new_agent()
 }
 
-/// Time for a body to leave after it was written: the system takes in megabytes at once, so the call seems to be sent
-/// long before it is, and the peer silent.
+/// Returns the time that a body may take to leave the send buffer. The operating system buffers
+/// megabytes at once, so a body seems sent long before it is, and the peer seems unresponsive.
 pub fn upload_time(body_bytes: usize) -> Duration {
     Duration::from_secs_f64(body_bytes as f64 / MIN_UPLOAD_BYTES_PER_S)
 }
 
-/// Whether a call failed before any byte of it was sent.
+/// Whether a call failed before any of its bytes was sent.
 pub fn is_not_sent(error: &Error) -> bool {
     match error {
         Error::ConnectionFailed | Error::Timeout(Timeout::Connect) => true,
--- a/crates/jackdawpier_http/src/lib.rs
+++ b/crates/jackdawpier_http/src/lib.rs
@@ -1,8 +1,8 @@
-//! Hyper server for callers, with limits on connections, headers and bodies.
+//! HTTP server for callers, based on Hyper, with limits on connections, headers and bodies.
 //!
-//! `tiny_http` stalls on kept-alive connections under load and dies of one failed accept; the
-//! measurement and the choice are in `docs/design/callers-port.md`. A slow caller holds a
-//! connection for a bounded time and never a thread.
+//! `tiny_http` stalls on keep-alive connections under load and terminates after one failed accept;
+//! `docs/design/callers-port.md` has the measurement and the decision. A slow caller occupies a
+//! connection for a bounded time, and never a thread.
 
 use std::{convert::Infallible, future::Future, sync::Arc, time::Duration};
 
@@ -22,57 +22,58 @@
     time::Instant,
 };
 
-/// Wait after a failed accept, for example while no file descriptor is free.
+/// Delay after a failed accept, for example while no file descriptor is free.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(50);
-/// Largest request head in bytes.
+/// Maximum size of a request head in bytes.
 const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// Most headers of a request.
+/// Maximum number of headers in a request.
 const MAX_HEADERS: usize = 64;
 
-/// A body that arrives more slowly is given up, so that a byte now and then holds no connection.
+/// Minimum transfer rate of a body, so that a caller that trickles bytes can't hold a connection.
 const MIN_BODY_BYTES_PER_S: f64 = 16_384.0;
 
-/// Limits on what a caller may hold.
+/// Limits on callers' connections and requests.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerLimits {
-    /// Open connections.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// Time to send a whole head, and longest pause within a body.
+    /// Timeout for receiving a whole head, and for each pause within a body.
     pub read_timeout: Duration,
-    /// Largest body in bytes.
+    /// Maximum size of a body in bytes.
     pub max_body_bytes: usize,
 }
 
-/// A whole request.
+/// A completely received request.
 #[derive(Debug, Clone)]
 pub struct IncomingRequest {
     /// Method.
     pub method: Method,
-    /// Path with the query, as sent.
+    /// Path with the query, as received.
     pub path: String,
     /// Headers.
     pub headers: HeaderMap,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
 impl IncomingRequest {
-    /// Returns a header as text, if it is there and is text.
+    /// Returns a header's value, if the header is present and valid text.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name).and_then(|value| value.to_str().ok())
     }
 }
 
-/// A whole reply.
+/// A complete reply.
 #[derive(Debug, Clone)]
 pub struct Reply {
-    /// Status.
+    /// Status code.
     pub status: u16,
-    /// Headers besides the length; one that is not valid is left out.
+    /// Headers except the content length; headers with invalid values are omitted.
     pub headers: Vec<(&'static str, String)>,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
-    /// Sends only this many bytes of the body and then breaks the connection, for stand-ins.
+    /// If set, only this many bytes of the body are sent before the connection is aborted; used by
+    /// stand-ins.
     pub truncate_after_bytes: Option<usize>,
 }
 
@@ -91,13 +92,13 @@
     }
 }
 
-/// What answers requests.
+/// Handles requests.
 pub trait Handler: Clone + Send + Sync + 'static {
-    /// Answers one request.
+    /// Handles one request and returns the reply.
     fn handle(&self, request: IncomingRequest) -> impl Future<Output = Reply> + Send;
 }
 
-/// Serves until `stop` turns true, then lets every request in flight finish.
+/// Serves until `stop` becomes true, then completes the requests in flight.
 pub async fn serve<H: Handler>(
     listener: TcpListener,
     limits: ServerLimits,
@@ -117,9 +118,9 @@
         };
         match accepted {
             (permit, Ok((stream, _))) => {
-                let serving = serve_connection(stream, limits, handler.clone(), stop.clone());
+                let connection = serve_connection(stream, limits, handler.clone(), stop.clone());
                 connections.spawn(async move {
-                    serving.await;
+                    connection.await;
                     drop(permit);
                 });
             }
@@ -158,7 +159,7 @@
     }
 }
 
-/// Waits until `stop` turns true, or its sender is gone.
+/// Waits until `stop` becomes true or its sender is dropped.
 pub async fn wait_for_stop(stop: &mut watch::Receiver<bool>) {
     let _ = stop.wait_for(|is_stopping| *is_stopping).await;
 }
@@ -180,8 +181,8 @@
             Reply::new(408, "text/plain", "the body did not arrive in time\n")
         }
         Err(BodyError::TooLargeOrAborted) => {
-            let bound = limits.max_body_bytes;
-            let text = format!("the body has more than {bound} bytes or was cut off\n");
+            let max_bytes = limits.max_body_bytes;
+            let text = format!("the body has more than {max_bytes} bytes or was cut off\n");
             Reply::new(413, "text/plain", text)
         }
         Ok(body) => {
@@ -195,15 +196,16 @@
     Ok(into_response(reply))
 }
 
-/// Why there is no whole body.
+/// Reason why a body was not received completely.
 enum BodyError {
-    /// The caller paused for too long, or sends too slowly.
+    /// The caller paused for too long or sent too slowly.
     TimedOut,
-    /// It is too long, or the connection ended.
+    /// The body is too large, or the connection was closed.
     TooLargeOrAborted,
 }
 
-/// Reads a body for as long as it arrives: how long it is, the caller decides.
+/// Reads a body. There is no timeout for the whole body, only for each pause and for a transfer
+/// rate below [`MIN_BODY_BYTES_PER_S`].
 async fn read_body(body: Incoming, limits: ServerLimits) -> Result<Bytes, BodyError> {
     let mut body = Limited::new(body, limits.max_body_bytes);
     let mut received = BytesMut::new();
@@ -223,12 +225,12 @@
     }
 }
 
-/// A full body, or one that breaks off for a stand-in's truncated answer.
+/// A complete body, or the deliberately truncated one of a stand-in.
 type ReplyBody = http_body_util::combinators::BoxBody<Bytes, TruncatedBody>;
 
-/// The stand-in broke the answer off on purpose.
+/// Error that aborts the connection after a deliberately truncated body.
 #[derive(Debug, Clone, Copy, derive_more::Display, derive_more::Error)]
-#[display("the answer was cut off on purpose")]
+#[display("the body was truncated deliberately")]
 pub struct TruncatedBody;
 
 fn into_response(reply: Reply) -> Response<ReplyBody> {
@@ -236,8 +238,8 @@
     let body = match reply.truncate_after_bytes {
         None => Full::new(reply.body).map_err(|never| match never {}).boxed(),
         Some(count) => {
-            let start = reply.body.slice(..count.min(length));
-            let frames = [Ok(hyper::body::Frame::data(start)), Err(TruncatedBody)];
+            let truncated = reply.body.slice(..count.min(length));
+            let frames = [Ok(hyper::body::Frame::data(truncated)), Err(TruncatedBody)];
             http_body_util::StreamBody::new(IterStream(frames.into_iter())).boxed()
         }
     };
@@ -255,7 +257,7 @@
     response
 }
 
-/// Stream over an iterator; enough for the two frames of a cut answer.
+/// Stream over an iterator; used for the two frames of a truncated body.
 struct IterStream<I>(I);
 
 impl<I: Iterator + Unpin> futures_core::Stream for IterStream<I> {
--- a/crates/jackdawpier_settings/src/declaration.rs
+++ b/crates/jackdawpier_settings/src/declaration.rs
@@ -67,7 +67,7 @@
     Quick,
     /// The caller waits for an expensive answer until its deadline.
     Report,
-    /// The work is queued durably and runs later.
+    /// The work is queued durably and may be delayed.
     Refresh,
 }
 
--- a/crates/jackdawpier_store/src/client.rs
+++ b/crates/jackdawpier_store/src/client.rs
@@ -1,4 +1,4 @@
-//! Blocking HTTP client of the store.
+//! Blocking HTTP client for the store.
 
 use std::time::Duration;
 
@@ -6,15 +6,15 @@
 
 use crate::{Request, Response, StoreError, StoreResult};
 
-/// Time for the store to accept a connection; nothing was sent before.
+/// Timeout for opening a connection to the store; nothing is sent before that.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Silence after which the store is given up, besides what a watch waits.
+/// Maximum time without a byte sent or received, in addition to the wait time of a watch.
 const IO_TIMEOUT: Duration = Duration::from_secs(1);
 const MAX_IDLE_CONNECTIONS: usize = 8;
-/// Largest answer taken: a page of records.
+/// Maximum size of an answer; a page of records is the largest one.
 const MAX_ANSWER_BYTES: u64 = 64 << 20;
 
-/// Client of the store; cheap to clone, with shared connections.
+/// Client for the store. Clones are cheap and share connections.
 #[derive(Debug, Clone)]
 pub struct StoreClient {
     agent: ureq::Agent,
@@ -22,7 +22,7 @@
 }
 
 impl StoreClient {
-    /// Returns a client of the store at `base_url` (`http://IP:PORT`).
+    /// Returns a client for the store at `base_url` (`http://IP:PORT`).
     pub fn new(base_url: &str) -> Self {
         let agent = jackdawpier_client::agent(ClientLimits {
             connect_timeout: CONNECT_TIMEOUT,
@@ -32,8 +32,8 @@
         Self { agent, url: format!("{base_url}/v1/store") }
     }
 
-    /// Makes one call. Blocks for as long as its bytes move, and then for at most the silence timeout
-    /// and what a watch waits.
+    /// Makes one call. Blocks while data is transferred; without progress, the call fails after the
+    /// I/O timeout plus the wait time of a watch.
     pub fn call(&self, request: &Request) -> StoreResult {
         let wait = match request {
             Request::Watch { wait_ms, .. } => Duration::from_millis(*wait_ms),
@@ -48,28 +48,28 @@
             .build()
             .header("content-type", "application/json")
             .send(&body)
-            .map_err(classify)?;
+            .map_err(to_store_error)?;
         if response.status().as_u16() == 503 {
             return Err(StoreError::unavailable("status 503"));
         }
         if response.body().content_length().is_some_and(|length| length > MAX_ANSWER_BYTES) {
-            let detail = format!("an answer of more than {MAX_ANSWER_BYTES} bytes");
+            let detail = format!("the answer has more than {MAX_ANSWER_BYTES} bytes");
             return Err(StoreError::ambiguous(detail));
         }
-        let text = response
+        let answer = response
             .body_mut()
             .with_config()
             .limit(MAX_ANSWER_BYTES)
             .read_to_vec()
             .map_err(StoreError::ambiguous)?;
-        match serde_json::from_slice(&text).map_err(StoreError::ambiguous)? {
+        match serde_json::from_slice(&answer).map_err(StoreError::ambiguous)? {
             Response::RateLimited => Err(StoreError::unavailable("rate limit")),
             response => Ok(response),
         }
     }
 }
 
-/// A failure to connect proves that nothing was sent; every other failure proves nothing.
-fn classify(error: ureq::Error) -> StoreError {
+/// Converts an error: if connecting failed, the call had no effect; otherwise it may have had one.
+fn to_store_error(error: ureq::Error) -> StoreError {
     if is_not_sent(&error) { StoreError::unavailable(error) } else { StoreError::ambiguous(error) }
 }
--- a/crates/jackdawpier_store/src/error.rs
+++ b/crates/jackdawpier_store/src/error.rs
@@ -1,26 +1,26 @@
-//! Failures of a call to the store, told apart by what may have happened.
+//! Errors of a call to the store, distinguished by whether it may have taken effect.
 
 use derive_more::{Display, Error};
 
-/// Why a call gave no usable answer.
+/// Reason why a call returned no usable answer.
 #[derive(Debug, Display, Error, Clone, PartialEq, Eq)]
 pub enum StoreError {
-    /// The call certainly had no effect.
+    /// The call had no effect.
     #[display("the store is unavailable: {detail}")]
     Unavailable {
-        /// What failed.
+        /// Description of the failure.
         detail: String,
     },
-    /// The call may have taken effect; read back before deciding.
+    /// The call may have taken effect; read the record again before deciding.
     #[display("the store's answer was lost: {detail}")]
     Ambiguous {
-        /// What failed.
+        /// Description of the failure.
         detail: String,
     },
 }
 
 impl StoreError {
-    /// Returns an error for a call that certainly had no effect.
+    /// Returns an error for a call that had no effect.
     pub fn unavailable(detail: impl ToString) -> Self {
         Self::Unavailable { detail: detail.to_string() }
     }
--- a/crates/jackdawpier_store/src/lib.rs
+++ b/crates/jackdawpier_store/src/lib.rs
@@ -1,8 +1,7 @@
-//! Client of the platform's configuration store: compare-and-swap, leases and watches.
+//! Client for the platform's configuration store: compare-and-swap, leases and watches.
 //!
-//! Requests and answers are plain values, so the decision crates can ask for them without doing
-//! I/O, and tests can answer them from a model. `docs/design/store.md` states what is assumed of
-//! the platform.
+//! Requests and answers are plain values, so crates without I/O can issue requests, and tests can
+//! answer them from a model. `docs/design/store.md` lists the assumptions about the platform.
 
 pub mod client;
 pub mod error;
@@ -12,5 +11,5 @@
 pub use error::StoreError;
 pub use protocol::{Change, Condition, LeaseId, Record, Request, Response};
 
-/// What became of one request to the store.
+/// Result of one request to the store.
 pub type StoreResult = Result<Response, StoreError>;
--- a/crates/jackdawpier_store/src/protocol.rs
+++ b/crates/jackdawpier_store/src/protocol.rs
@@ -1,12 +1,12 @@
-//! The store's requests and answers, as JSON over HTTP.
+//! Requests to the store and its answers, as JSON over HTTP.
 
 use jackdawpier_kernel::ids::Revision;
 use serde::{Deserialize, Serialize};
 
-/// Identity of a lease, chosen by the store.
+/// Id of a lease, assigned by the store.
 pub type LeaseId = u64;
 
-/// Largest value that the platform's store takes, in bytes.
+/// Maximum size of a value in the platform's store, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1 << 20;
 
 /// One stored record.
@@ -14,19 +14,19 @@
 pub struct Record {
     /// Key of the record.
     pub key: String,
-    /// Value of the record, JSON text by convention.
+    /// Value of the record; JSON text by convention.
     pub value: String,
-    /// Revision of the write that made it.
+    /// Revision of the last write of the record.
     pub revision: Revision,
-    /// Lease whose end deletes the record.
+    /// Lease that the record is attached to; the record is deleted when the lease ends.
     pub lease: Option<LeaseId>,
 }
 
-/// What must hold for a write to take effect.
+/// Condition under which a write takes effect.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Condition {
-    /// Nothing.
+    /// The write always takes effect.
     Always,
     /// The key has no record.
     Absent,
@@ -43,44 +43,44 @@
         /// Key to read.
         key: String,
     },
-    /// Reads the records with a prefix, in the order of their keys.
+    /// Reads the records with a key prefix, sorted by key.
     Range {
         /// Prefix of the keys.
         prefix: String,
-        /// Reads only keys above this one; empty for the first page.
+        /// Reads only keys after this one; empty for the first page.
         after_key: String,
-        /// Most records in the answer.
+        /// Maximum number of records in the answer.
         limit: usize,
     },
-    /// Writes one record when the condition holds.
+    /// Writes one record if the condition holds.
     Put {
         /// Key to write.
         key: String,
         /// New value.
         value: String,
-        /// What must hold.
+        /// Condition for the write.
         condition: Condition,
         /// Lease to attach the record to.
         lease: Option<LeaseId>,
     },
-    /// Deletes one record when the condition holds; an absent record counts as deleted.
+    /// Deletes one record if the condition holds; deleting an absent record succeeds.
     Delete {
         /// Key to delete.
         key: String,
-        /// What must hold.
+        /// Condition for the write.
         condition: Condition,
     },
-    /// Asks for a lease.
+    /// Creates a lease.
     LeaseGrant {
         /// Time to live in milliseconds.
         ttl_ms: u64,
     },
-    /// Extends a lease by its time to live.
+    /// Renews a lease for its time to live.
     LeaseRenew {
         /// The lease.
         lease: LeaseId,
     },
-    /// Ends a lease and deletes its records.
+    /// Revokes a lease and deletes its records.
     LeaseRevoke {
         /// The lease.
         lease: LeaseId,
@@ -89,14 +89,14 @@
     Watch {
         /// Prefix of the keys.
         prefix: String,
-        /// Reports only changes above this revision.
+        /// Reports only changes after this revision.
         after_revision: Revision,
-        /// Longest wait in milliseconds.
+        /// Maximum wait in milliseconds.
         wait_ms: u64,
     },
 }
 
-/// One change that a watch reports.
+/// A change reported by a watch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Change {
@@ -111,66 +111,66 @@
     },
 }
 
-/// The store's answer.
+/// Answer of the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "is")]
 pub enum Response {
-    /// The record, if there is one.
+    /// Result of reading one record.
     Record {
-        /// The record.
+        /// The record, if it exists.
         record: Option<Record>,
-        /// Revision of the store at the read.
+        /// Revision of the store at the time of the read.
         store_revision: Revision,
     },
     /// One page of records.
     Records {
-        /// The records, in the order of their keys.
+        /// The records, sorted by key.
         records: Vec<Record>,
         /// Whether another page follows.
         more: bool,
-        /// Revision of the store at the read.
+        /// Revision of the store at the time of the read.
         store_revision: Revision,
     },
-    /// The write or deletion took effect.
+    /// The write, deletion or revocation took effect.
     Written {
-        /// Its revision.
+        /// Revision of the store after it.
         revision: Revision,
     },
-    /// The condition did not hold, so nothing changed.
+    /// The condition did not hold; nothing changed.
     Conflict {
-        /// The record that stands there.
+        /// Current record under the key.
         current: Option<Record>,
     },
-    /// The lease lives.
+    /// The lease was granted or renewed.
     Lease {
         /// The lease.
         lease: LeaseId,
     },
     /// The lease has ended.
     LeaseGone,
-    /// Changes since the revision that the watch named.
+    /// Changes after the revision given in the watch.
     Changes {
-        /// The changes in order; the last change of a key stands for the earlier ones.
+        /// Changes in order; the last change of a key replaces the earlier ones.
         changes: Vec<Change>,
-        /// Revision up to which the watch has seen.
+        /// Revision up to which the changes are complete.
         store_revision: Revision,
     },
-    /// The watch asked for changes that the store no longer has; read the range again.
+    /// The store no longer has the requested changes; the range must be read again.
     Compacted {
-        /// Revision of the store.
+        /// Current revision of the store.
         store_revision: Revision,
     },
-    /// The platform's rate limit refused the call, which had no effect.
+    /// The call was rejected by the platform's rate limit and had no effect.
     RateLimited,
 }
 
 impl Request {
-    /// Whether the call changes the store.
+    /// Whether the call may change the store.
     pub fn is_write(&self) -> bool {
         !matches!(self, Self::Get { .. } | Self::Range { .. } | Self::Watch { .. })
     }
 
-    /// The value that the call would store.
+    /// Returns the value that the call writes, if any.
     pub fn value(&self) -> Option<&str> {
         match self {
             Self::Put { value, .. } => Some(value),
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Stable name of the operation, for metrics and counts.
+    /// Returns the stable name of the operation, as used in metrics.
     pub fn name(&self) -> &'static str {
         match self {
             Self::Get { .. } => "get",
--- a/crates/jackdawpier_store/tests/slow_link.rs
+++ b/crates/jackdawpier_store/tests/slow_link.rs
@@ -1,4 +1,4 @@
-//! Calls to a store behind a link that takes seconds for what they carry.
+//! Calls to a store over a link so slow that a transfer takes seconds.
 
 use std::{
     io::{Read, Write},
@@ -14,16 +14,18 @@
 };
 use jackdawpier_store::{Condition, Request, Response, StoreClient, StoreError};
 
-/// Carries a record of [`RECORD_BYTES`] in two seconds.
+/// Transfers a record of [`RECORD_BYTES`] in two seconds.
 const LINK_BYTES_PER_S: u32 = 200_000;
 const RECORD_BYTES: usize = 400_000;
 const KEY: &str = "cells/orders/1";
-/// Well above the time after which a silent store is given up, well below twice an answer's.
-const SILENCE_BOUND: Duration = Duration::from_millis(2_500);
+/// Well above the client's I/O timeout, and well below twice that of an answer.
+const MAX_STALL: Duration = Duration::from_millis(2_500);
 
 fn store() -> SocketAddr {
     spawn(|ready| {
-        store_server::run(any_port(), 1, move |at| ready.send(at).expect("the test waits for it"))
+        store_server::run(any_port(), 1, move |at| {
+            ready.send(at).expect("the test receives the address")
+        })
     })
 }
 
@@ -49,8 +51,8 @@
     Request::Get { key: KEY.to_owned() }
 }
 
-/// A store that answers every call with `start` and then says nothing, for as long as the test runs.
-fn silent_after(start: &'static [u8]) -> SocketAddr {
+/// Starts a store that answers every call with `start` and then sends nothing more.
+fn stalling_store(start: &'static [u8]) -> SocketAddr {
     let listener = TcpListener::bind(any_port()).expect("there is a free port");
     let address = listener.local_addr().expect("it is bound");
     thread::spawn(move || {
@@ -64,42 +66,45 @@
     address
 }
 
-/// A reading that never arrived whole was begun again for ever, and no cell could be opened.
+/// Guards against a timeout for the whole read: an answer that takes longer would be fetched again
+/// and again, so that the cell never opens.
 #[test]
-fn long_answer() {
+fn slow_download() {
     let store = store();
-    client(store).call(&put()).expect("nothing is slow here");
-    let answer = slow_client(store).call(&get()).expect("the answer arrives without a pause");
+    client(store).call(&put()).expect("the direct connection is fast");
+    let answer = slow_client(store).call(&get()).expect("the answer arrives without a stall");
     let Response::Record { record: Some(record), .. } = answer else { panic!("{answer:?}") };
     assert_eq!(record.value.len(), RECORD_BYTES);
 }
 
-/// A write that took longer to send than its answer may take was lost and sent again for ever.
+/// Guards against counting the upload towards the answer's timeout: a large write would fail and be
+/// sent again and again.
 #[test]
-fn long_upload() {
+fn slow_upload() {
     let store = store();
-    let answer = slow_client(store).call(&put()).expect("the body leaves without a pause");
+    let answer = slow_client(store).call(&put()).expect("the body is sent without a stall");
     assert_eq!(answer, Response::Written { revision: 1 });
-    let found = client(store).call(&get()).expect("nothing is slow here");
+    let found = client(store).call(&get()).expect("the direct connection is fast");
     assert!(matches!(found, Response::Record { record: Some(_), .. }));
 }
 
 #[test]
-fn silent_store() {
+fn stalled_store() {
     let starts: [&[u8]; 2] = [b"", b"HTTP/1.1 200 OK\r\ncontent-length: 100\r\n\r\n{\"is\""];
     for start in starts {
         let started_at = Instant::now();
-        let error = client(silent_after(start)).call(&get()).expect_err("it never ends");
+        let error =
+            client(stalling_store(start)).call(&get()).expect_err("the answer is never complete");
         assert!(matches!(error, StoreError::Ambiguous { .. }), "{error}");
-        assert!(started_at.elapsed() < SILENCE_BOUND, "given up after {:?}", started_at.elapsed());
+        assert!(started_at.elapsed() < MAX_STALL, "failed only after {:?}", started_at.elapsed());
     }
 }
 
-/// A watch may be silent for as long as it waits.
+/// A watch may receive nothing during its wait time.
 #[test]
-fn quiet_watch() {
+fn idle_watch() {
     let prefix = "coord/".to_owned();
     let watch = Request::Watch { prefix, after_revision: 0, wait_ms: 1_500 };
-    let answer = client(store()).call(&watch).expect("it waits and answers");
+    let answer = client(store()).call(&watch).expect("it answers after the wait");
     assert!(matches!(answer, Response::Changes { .. }));
 }
