--- a/crates/jackdawpier/src/args.rs
+++ b/crates/jackdawpier/src/args.rs
@@ -1,19 +1,19 @@
-//! The command line of the tool.
+//! Command-line arguments of the tool.
 
 use std::path::PathBuf;
 
 use bpaf::Bpaf;
 
-/// How results are printed.
+/// Output format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Output {
-    /// Tables for people.
+    /// Tables.
     Table,
-    /// JSON for programs.
+    /// JSON, for scripts.
     Json,
 }
 
-/// What can be done with a wave.
+/// Action on a maintenance wave.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum WaveAction {
     Start,
@@ -23,7 +23,7 @@
     Cancel,
 }
 
-fn parse_wave(text: String) -> Result<WaveAction, String> {
+fn parse_wave_action(text: String) -> Result<WaveAction, String> {
     match text.as_str() {
         "start" => Ok(WaveAction::Start),
         "status" => Ok(WaveAction::Status),
@@ -34,7 +34,7 @@
     }
 }
 
-/// What can be done with a job.
+/// Action on a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum JobAction {
     Show,
@@ -44,7 +44,7 @@
 }
 
 impl JobAction {
-    /// The word for it, as in the path of the call.
+    /// Returns the action's name on the command line and in the request path.
     pub(crate) fn name(self) -> &'static str {
         match self {
             Self::Show => "show",
@@ -55,7 +55,7 @@
     }
 }
 
-fn parse_job(text: String) -> Result<JobAction, String> {
+fn parse_job_action(text: String) -> Result<JobAction, String> {
     [JobAction::Show, JobAction::Cancel, JobAction::Retry, JobAction::Discard]
         .into_iter()
         .find(|action| action.name() == text)
@@ -65,7 +65,7 @@
 fn output() -> impl bpaf::Parser<Output> {
     use bpaf::Parser;
     bpaf::long("output")
-        .help("Form of the output: table or json")
+        .help("Output format: table or json")
         .argument::<String>("FORM")
         .parse(|text| match text.as_str() {
             "table" => Ok(Output::Table),
@@ -75,7 +75,7 @@
         .fallback(Output::Table)
 }
 
-/// What every command needs.
+/// Common options
 #[derive(Debug, Clone, Bpaf)]
 pub(crate) struct Common {
     /// Operators' address of any entry
@@ -98,22 +98,22 @@
         #[bpaf(positional("FILE"))]
         file: String,
     },
-    /// Put a declaration in force
+    /// Apply a declaration
     #[bpaf(command)]
     Apply {
         #[bpaf(external)]
         common: Common,
-        /// Revision that the change is based on; the one now in force when absent
+        /// Revision that the change is based on; default: the current revision
         #[bpaf(argument("REVISION"))]
         base: Option<u64>,
-        /// Seconds to wait until every live entry has the change in force
+        /// Maximum time in seconds to wait until the change is in force at every live entry
         #[bpaf(argument("SECONDS"), fallback(10))]
         wait: u64,
         /// Declaration file (YAML)
         #[bpaf(positional("FILE"))]
         file: String,
     },
-    /// Show classes, members, configuration and parked jobs at a glance
+    /// Show classes, members, configuration and parked jobs
     #[bpaf(command)]
     Status {
         #[bpaf(external)]
@@ -121,43 +121,43 @@
         /// Refresh every second
         watch: bool,
     },
-    /// Start, watch or stop a maintenance wave
+    /// Start, show, pause, resume or cancel a maintenance wave
     #[bpaf(command)]
     Wave {
         #[bpaf(external)]
         common: Common,
         /// One of start, status, pause, resume, cancel
-        #[bpaf(positional::<String>("ACTION"), parse(parse_wave))]
+        #[bpaf(positional::<String>("ACTION"), parse(parse_wave_action))]
         action: WaveAction,
     },
-    /// Show a job, cancel it, or decide on a parked one
+    /// Show or cancel a job, or retry or discard a parked one
     #[bpaf(command)]
     Job {
         #[bpaf(external)]
         common: Common,
         /// One of show, cancel, retry, discard
-        #[bpaf(positional::<String>("ACTION"), parse(parse_job))]
+        #[bpaf(positional::<String>("ACTION"), parse(parse_job_action))]
         action: JobAction,
         /// Class of the job
         #[bpaf(positional("CLASS"))]
         class: String,
-        /// Id of the job, as `status` shows it
+        /// Id of the job, as shown by `status`
         #[bpaf(positional("ID"))]
         id: String,
     },
-    /// Show buffer cost, moves and roll-out time by the day
+    /// Show buffer cost, moves and roll-out time per day
     #[bpaf(command)]
     Report {
         #[bpaf(external)]
         common: Common,
-        /// Also draw them into this SVG file
+        /// Also plot the figures into this SVG file
         #[bpaf(argument("FILE"))]
         svg: Option<PathBuf>,
-        /// Days to show
+        /// Number of days to show
         #[bpaf(argument("N"), fallback(30))]
         days: usize,
     },
-    /// Explain why capacity of a class is held back
+    /// Explain why a class keeps spare capacity
     #[bpaf(command)]
     Explain {
         #[bpaf(external)]
@@ -166,7 +166,7 @@
         #[bpaf(positional("CLASS"))]
         class: String,
     },
-    /// Show the document of a deployment that is in force
+    /// Show the current configuration document of a deployment
     #[bpaf(command)]
     Get {
         #[bpaf(external)]
--- a/crates/jackdawpier/src/commands.rs
+++ b/crates/jackdawpier/src/commands.rs
@@ -1,4 +1,4 @@
-//! The tool's commands, one file each.
+//! The tool's commands, one module each.
 
 mod apply;
 mod explain;
@@ -15,7 +15,7 @@
     exit_status::{ExitStatus, Failure},
 };
 
-/// Runs what the command line asks for.
+/// Runs the command given on the command line.
 pub(crate) fn run(args: &Args) -> Result<ExitStatus, Failure> {
     match args {
         Args::Plan { common, file } => plan::run(&Client::new(&common.entry), common, file),
--- a/crates/jackdawpier/src/commands/apply.rs
+++ b/crates/jackdawpier/src/commands/apply.rs
@@ -1,4 +1,4 @@
-//! `jackdawpier apply`: puts a declaration in force.
+//! `jackdawpier apply`: applies a declaration.
 
 use std::{
     thread,
@@ -10,13 +10,14 @@
 use crate::{
     args::{Common, Output},
     client::Client,
-    commands::plan::{current, read_declaration},
+    commands::plan::{fetch_current, read_declaration},
     exit_status::{ExitStatus, Failure},
 };
 
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Applies the declaration and waits until it is in force at every live entry.
+/// Applies the declaration and waits until it is in force at every live entry, for at most `wait_s`
+/// seconds.
 pub(crate) fn run(
     client: &Client,
     common: &Common,
@@ -27,16 +28,17 @@
     let (text, declaration) = read_declaration(file)?;
     let base = match base {
         Some(base) => base,
-        None => current(client, &declaration.deployment)?.revision,
+        None => fetch_current(client, &declaration.deployment)?.revision,
     };
     let started_at = Instant::now();
     let answer = client.post("/v1/apply", &json!({"base": base, "file": file, "text": text}))?;
     if answer.status != 200 {
-        return Ok(refused(common, answer.status, &answer.body));
+        return Ok(report_rejection(common, answer.status, &answer.body));
     }
     let revision = answer.body["revision"].as_u64().unwrap_or(0);
-    let limit = Duration::from_secs(wait_s);
-    let lagging = wait_in_force(client, &declaration.deployment, revision, started_at, limit)?;
+    let timeout = Duration::from_secs(wait_s);
+    let lagging =
+        wait_until_in_force(client, &declaration.deployment, revision, started_at, timeout)?;
     let took_ms = started_at.elapsed().as_millis() as u64;
     if common.output == Output::Json {
         println!(
@@ -50,18 +52,20 @@
         return Ok(ExitStatus::Success);
     }
     eprintln!(
-        "revision {revision} is accepted and can't be lost, but not in force yet at: {}\nnext: run `jackdawpier status`; an entry that is cut off stops serving by itself",
+        "revision {revision} is stored durably, but not in force yet at: {}\nnext: run `jackdawpier status`; a disconnected entry stops serving by itself",
         lagging.join(", ")
     );
     Ok(ExitStatus::Unknown)
 }
 
-fn wait_in_force(
+/// Waits until the revision is in force everywhere, or the timeout has passed. Returns the members
+/// where it isn't in force.
+fn wait_until_in_force(
     client: &Client,
     deployment: &str,
     revision: u64,
     started_at: Instant,
-    limit: Duration,
+    timeout: Duration,
 ) -> Result<Vec<String>, Failure> {
     loop {
         let status = client.get("/v1/status")?.body;
@@ -80,14 +84,15 @@
                 names.filter_map(Value::as_str).map(str::to_owned).collect()
             },
         );
-        if lagging.is_empty() || started_at.elapsed() > limit {
+        if lagging.is_empty() || started_at.elapsed() > timeout {
             return Ok(lagging);
         }
         thread::sleep(POLL_INTERVAL);
     }
 }
 
-fn refused(common: &Common, status: u16, body: &Value) -> ExitStatus {
+/// Prints why the change was rejected, and returns the exit status.
+fn report_rejection(common: &Common, status: u16, body: &Value) -> ExitStatus {
     if common.output == Output::Json {
         println!("{body}");
     }
@@ -96,13 +101,13 @@
             let current = &body["current"];
             let writer = current["writer"]["entry"].as_str().unwrap_or("-");
             eprintln!(
-                "conflict: the change is based on revision {}, but revision {} stands (written through {writer})\nnext: run `jackdawpier get`, merge, and apply with --base {}",
+                "conflict: the change is based on revision {}, but the current revision is {} (written through {writer})\nnext: run `jackdawpier get`, merge, and apply with --base {}",
                 body["base"], current["revision"], current["revision"]
             );
             ExitStatus::Conflict
         }
         422 => {
-            eprintln!("the entry refused the declaration: {body}");
+            eprintln!("the entry rejected the declaration: {body}");
             ExitStatus::BadInput
         }
         504 => {
@@ -114,7 +119,7 @@
         }
         _ => {
             eprintln!(
-                "nothing was changed: {}\nnext: try again once the store answers",
+                "nothing was changed: {}\nnext: try again when the store is available",
                 body["detail"]
             );
             ExitStatus::Unavailable
--- a/crates/jackdawpier/src/commands/explain.rs
+++ b/crates/jackdawpier/src/commands/explain.rs
@@ -1,4 +1,4 @@
-//! `jackdawpier explain`: why capacity of a class is held back.
+//! `jackdawpier explain`: explains why a class keeps spare capacity.
 
 use crate::{
     args::{Common, Output},
@@ -7,7 +7,7 @@
     render,
 };
 
-/// Prints the buffer of the class's pool, taken apart.
+/// Prints the reasons for the spare instances of the class's pool.
 pub(crate) fn run(client: &Client, common: &Common, class: &str) -> Result<ExitStatus, Failure> {
     let answer = client.get(&format!("/v1/explain/{class}"))?;
     match answer.status {
--- a/crates/jackdawpier/src/commands/get.rs
+++ b/crates/jackdawpier/src/commands/get.rs
@@ -1,4 +1,4 @@
-//! `jackdawpier get`: the document of a deployment in force.
+//! `jackdawpier get`: shows the current configuration document of a deployment.
 
 use crate::{
     client::Client,
@@ -13,7 +13,7 @@
             format!("no deployment `{deployment}` is in force\nnext: run `jackdawpier status`");
         return Err(Failure::BadInput { findings });
     }
-    let text = serde_json::to_string_pretty(&answer.body).expect("it was read from JSON");
+    let text = serde_json::to_string_pretty(&answer.body).expect("a JSON value can be serialized");
     println!("{text}");
     Ok(ExitStatus::Success)
 }
--- a/crates/jackdawpier/src/commands/job.rs
+++ b/crates/jackdawpier/src/commands/job.rs
@@ -1,4 +1,4 @@
-//! `jackdawpier job`: show a job, cancel it, or decide on a parked one.
+//! `jackdawpier job`: shows or cancels a job, or retries or discards a parked one.
 
 use crate::{
     args::JobAction,
@@ -7,7 +7,7 @@
     render,
 };
 
-/// Carries the action out and prints the job as it stands then.
+/// Performs the action and prints the job's resulting state.
 pub(crate) fn run(
     client: &Client,
     action: JobAction,
@@ -20,7 +20,7 @@
         return Ok(ExitStatus::Unavailable);
     }
     if answer.status == 504 {
-        eprintln!("{}next: `jackdawpier job show` says how it stands", render::cell(&answer.body));
+        eprintln!("{}next: check the job with `jackdawpier job show`", render::cell(&answer.body));
         return Ok(ExitStatus::Unknown);
     }
     if answer.status != 200 {
@@ -30,6 +30,9 @@
         );
         return Err(Failure::BadInput { findings });
     }
-    println!("{}", serde_json::to_string_pretty(&answer.body).expect("it was read from JSON"));
+    println!(
+        "{}",
+        serde_json::to_string_pretty(&answer.body).expect("a JSON value can be serialized")
+    );
     Ok(ExitStatus::Success)
 }
--- a/crates/jackdawpier/src/commands/plan.rs
+++ b/crates/jackdawpier/src/commands/plan.rs
@@ -1,4 +1,4 @@
-//! `jackdawpier plan`: what a declaration would change.
+//! `jackdawpier plan`: shows what a declaration would change.
 
 use std::collections::BTreeMap;
 
@@ -15,24 +15,24 @@
     render,
 };
 
-/// The document now in force.
-pub(crate) struct Current {
+/// Current document of a deployment.
+pub(crate) struct CurrentDocument {
     pub(crate) revision: u64,
     pub(crate) declaration: Option<Declaration>,
 }
 
-/// One target that would change.
-struct Change {
+/// A target that would change.
+struct TargetChange {
     class: String,
     target: &'static str,
     before: String,
     after: String,
 }
 
-/// Reads and checks a declaration file.
+/// Reads and validates a declaration file. Returns its text and the declaration.
 pub(crate) fn read_declaration(file: &str) -> Result<(String, Declaration), Failure> {
     let text = std::fs::read_to_string(file).map_err(|error| Failure::BadInput {
-        findings: format!("{file}: {error}\nnext: name a readable declaration file"),
+        findings: format!("{file}: {error}\nnext: give a readable declaration file"),
     })?;
     let declaration = load_declaration(file, &text).map_err(|findings| {
         let lines: Vec<String> = findings.iter().map(ToString::to_string).collect();
@@ -41,19 +41,20 @@
     Ok((text, declaration))
 }
 
-/// Asks for the document now in force.
-pub(crate) fn current(client: &Client, deployment: &str) -> Result<Current, Failure> {
+/// Fetches the current document of a deployment.
+pub(crate) fn fetch_current(client: &Client, deployment: &str) -> Result<CurrentDocument, Failure> {
     let answer = client.get(&format!("/v1/config/{deployment}"))?;
     if answer.status == 404 {
-        return Ok(Current { revision: 0, declaration: None });
+        return Ok(CurrentDocument { revision: 0, declaration: None });
     }
     let revision = answer.body["revision"].as_u64().unwrap_or(0);
     let declaration = serde_json::from_value(answer.body["declaration"].clone())
-        .map_err(|error| Failure::BadAnswer { detail: error.to_string() })?;
-    Ok(Current { revision, declaration: Some(declaration) })
+        .map_err(|error| Failure::InvalidAnswer { detail: error.to_string() })?;
+    Ok(CurrentDocument { revision, declaration: Some(declaration) })
 }
 
-fn targets(class: &Class) -> [(&'static str, String); 7] {
+/// Returns the targets of a class by name.
+fn class_targets(class: &Class) -> [(&'static str, String); 7] {
     [
         ("service", class.service.to_string()),
         ("kind", format!("{:?}", class.kind).to_lowercase()),
@@ -65,29 +66,31 @@
     ]
 }
 
-fn by_target(declaration: &Declaration) -> BTreeMap<(String, &'static str), String> {
+/// Returns the values of all targets by class and target name.
+fn target_values(declaration: &Declaration) -> BTreeMap<(String, &'static str), String> {
     let classes = declaration.classes.iter().flat_map(|class| {
-        targets(class).map(|(target, value)| ((class.name.to_string(), target), value))
+        class_targets(class).map(|(target, value)| ((class.name.to_string(), target), value))
     });
     let ceilings = &declaration.ceilings;
-    let ceiling = |value: Option<u32>| value.map_or_else(|| "-".to_owned(), |v| v.to_string());
+    let ceiling_text = |value: Option<u32>| value.map_or_else(|| "-".to_owned(), |v| v.to_string());
     let deployment = [
-        ("moves_per_day", ceiling(ceilings.moves_per_day)),
-        ("buffer_instances", ceiling(ceilings.buffer_instances)),
+        ("moves_per_day", ceiling_text(ceilings.moves_per_day)),
+        ("buffer_instances", ceiling_text(ceilings.buffer_instances)),
     ];
     let ceilings = deployment.map(|(target, value)| (("(ceilings)".to_owned(), target), value));
     classes.chain(ceilings).collect()
 }
 
-fn changes(before: Option<&Declaration>, after: &Declaration) -> Vec<Change> {
-    let before = before.map(by_target).unwrap_or_default();
-    let after = by_target(after);
+/// Returns the targets that differ between two declarations.
+fn diff(before: Option<&Declaration>, after: &Declaration) -> Vec<TargetChange> {
+    let before = before.map(target_values).unwrap_or_default();
+    let after = target_values(after);
     let keys: std::collections::BTreeSet<_> = before.keys().chain(after.keys()).collect();
     let value = |map: &BTreeMap<(String, &'static str), String>, key: &(String, &'static str)| {
         map.get(key).cloned().unwrap_or_else(|| "-".to_owned())
     };
     keys.into_iter()
-        .map(|key| Change {
+        .map(|key| TargetChange {
             class: key.0.clone(),
             target: key.1,
             before: value(&before, key),
@@ -97,11 +100,11 @@
         .collect()
 }
 
-/// Prints what would change; exit status 1 if anything would.
+/// Prints what would change; the exit status is [`ExitStatus::Changes`] if anything would.
 pub(crate) fn run(client: &Client, common: &Common, file: &str) -> Result<ExitStatus, Failure> {
     let (_, declaration) = read_declaration(file)?;
-    let current = current(client, &declaration.deployment)?;
-    let changes = changes(current.declaration.as_ref(), &declaration);
+    let current = fetch_current(client, &declaration.deployment)?;
+    let changes = diff(current.declaration.as_ref(), &declaration);
     if common.output == Output::Json {
         let rows: Vec<_> = changes
             .iter()
@@ -114,7 +117,7 @@
             declaration.deployment, current.revision
         );
     } else {
-        let mut table = render::table(&["class", "target", "in force", "planned"]);
+        let mut table = render::empty_table(&["class", "target", "in force", "planned"]);
         for change in &changes {
             table.add_row([&change.class, change.target, &change.before, &change.after]);
         }
--- a/crates/jackdawpier/src/commands/status.rs
+++ b/crates/jackdawpier/src/commands/status.rs
@@ -1,4 +1,4 @@
-//! `jackdawpier status`: classes, members, configuration and parked jobs at a glance.
+//! `jackdawpier status`: shows classes, members, configuration and parked jobs.
 
 use std::{thread, time::Duration};
 
@@ -14,7 +14,7 @@
 const REFRESH_INTERVAL: Duration = Duration::from_secs(1);
 const CLEAR_SCREEN: &str = "\u{1b}[2J\u{1b}[H";
 
-/// Prints the status once, or every second.
+/// Prints the status once, or with `watch` every second.
 pub(crate) fn run(client: &Client, common: &Common, watch: bool) -> Result<ExitStatus, Failure> {
     loop {
         let status = client.get("/v1/status")?.body;
@@ -25,7 +25,7 @@
             Output::Json => println!("{status}"),
             Output::Table => {
                 print_tables(&status);
-                print_capacity(client, &status)?;
+                print_pools_and_wave(client, &status)?;
             }
         }
         if !watch {
@@ -35,20 +35,20 @@
     }
 }
 
-/// Each class's pool against its target, and the wave.
-fn print_capacity(client: &Client, status: &Value) -> Result<(), Failure> {
+/// Prints the pool of each class, and the wave.
+fn print_pools_and_wave(client: &Client, status: &Value) -> Result<(), Failure> {
     let columns = ["have", "need", "buffer", "worst_loss", "may_lose", "margin"];
-    let mut pools = render::table(&[&["class"], &columns[..]].concat());
-    let shown = client.get("/v1/pools")?.body;
+    let mut pools = render::empty_table(&[&["class"], &columns[..]].concat());
+    let pools_by_service = client.get("/v1/pools")?.body;
     for class in status["classes"].as_array().into_iter().flatten() {
-        let pool = &shown[class["service"].as_str().unwrap_or_default()];
+        let pool = &pools_by_service[class["service"].as_str().unwrap_or_default()];
         let figures = columns.iter().map(|column| render::cell(&pool[*column]));
         pools.add_row(std::iter::once(render::cell(&class["class"])).chain(figures));
     }
     println!("\npools of the classes, in instances\n{pools}");
     let wave = client.get("/v1/wave")?.body;
     let columns = ["wave", "state", "done", "out", "pending", "held_by", "moves"];
-    let mut table = render::table(&columns);
+    let mut table = render::empty_table(&columns);
     table.add_row(columns.iter().map(|column| render::cell(&wave[*column])));
     println!("\nwave\n{table}");
     Ok(())
@@ -63,14 +63,14 @@
     );
     println!(
         "\nconfiguration\n{}",
-        render::rows(
+        render::object_table(
             &status["documents"],
             &["deployment", "revision", "is_in_force", "lagging_members"]
         )
     );
     println!(
         "\nclasses\n{}",
-        render::rows(
+        render::object_table(
             &status["classes"],
             &[
                 "class",
@@ -84,10 +84,13 @@
     );
     println!(
         "\nmembers\n{}",
-        render::rows(&status["members"], &["entry", "zone", "is_reachable", "is_stopping", "owns"])
+        render::object_table(
+            &status["members"],
+            &["entry", "zone", "is_reachable", "is_stopping", "owns"]
+        )
     );
     let mut services =
-        render::table(&["service", "queued", "pending", "slots", "keys", "jobs waiting"]);
+        render::empty_table(&["service", "queued", "pending", "slots", "keys", "jobs waiting"]);
     for (name, figures) in status["services"].as_object().into_iter().flatten() {
         let figure = |key: &str| render::cell(&figures[key]);
         services.add_row([
@@ -100,5 +103,5 @@
         ]);
     }
     println!("\nservices, as seen by this entry\n{services}");
-    println!("\nparked jobs\n{}", render::rows(&status["parked_jobs"], &["job", "reason"]));
+    println!("\nparked jobs\n{}", render::object_table(&status["parked_jobs"], &["job", "reason"]));
 }
--- a/crates/jackdawpier/src/commands/wave.rs
+++ b/crates/jackdawpier/src/commands/wave.rs
@@ -1,4 +1,4 @@
-//! `jackdawpier wave`: start, watch or stop a maintenance wave.
+//! `jackdawpier wave`: starts, shows, pauses, resumes or cancels a maintenance wave.
 
 use crate::{
     args::{Common, Output, WaveAction},
@@ -7,7 +7,7 @@
     render,
 };
 
-/// Carries the action out and prints the wave.
+/// Performs the action and prints the wave.
 pub(crate) fn run(
     client: &Client,
     common: &Common,
@@ -28,14 +28,14 @@
         Output::Json => println!("{}", answer.body),
         Output::Table => {
             let columns = ["wave", "state", "done", "out", "pending", "held_by"];
-            let mut table = render::table(&columns);
+            let mut table = render::empty_table(&columns);
             table.add_row(columns.iter().map(|column| render::cell(&answer.body[*column])));
             println!("{table}");
         }
     }
     if answer.status == 409 {
         eprintln!(
-            "the wave is in a state that does not allow this\nnext: run `jackdawpier wave status`"
+            "the wave's state does not allow this action\nnext: run `jackdawpier wave status`"
         );
         return Ok(ExitStatus::Conflict);
     }
--- a/crates/jackdawpier/src/exit_status.rs
+++ b/crates/jackdawpier/src/exit_status.rs
@@ -1,23 +1,23 @@
-//! Exit statuses, and the failures that lead to them.
+//! Exit statuses and the failures that cause them.
 
 use std::process::ExitCode;
 
 use derive_more::{Display, Error};
 
-/// How the tool ends; documented in `docs/operators/command-line.md`.
+/// Exit status of the tool; documented in `docs/operators/command-line.md`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ExitStatus {
-    /// Done, and in force where that was asked for.
+    /// The command succeeded; an applied change is in force everywhere.
     Success,
-    /// The change would change something (`plan`).
+    /// The declaration differs from the current configuration (`plan`).
     Changes,
-    /// The declaration or the command line has findings.
+    /// The declaration or an argument is invalid.
     BadInput,
-    /// Somebody else changed the document first.
+    /// The request conflicts with the current state, such as a document changed by somebody else.
     Conflict,
     /// No entry or no store could be reached; nothing was changed.
     Unavailable,
-    /// The outcome is not known, or the change is not in force everywhere yet.
+    /// The outcome is unknown, or the change is not in force everywhere yet.
     Unknown,
 }
 
@@ -34,52 +34,52 @@
     }
 }
 
-/// Why the tool could not do what was asked, with what to do next.
+/// Failure of a command. The messages suggest what to do next.
 #[derive(Debug, Display, Error)]
 pub(crate) enum Failure {
-    /// The input has findings, one a line.
+    /// The input is invalid.
     #[display("{findings}")]
     BadInput {
-        /// The findings.
+        /// Findings, one per line.
         findings: String,
     },
-    /// No entry answered.
+    /// The entry could not be reached.
     #[display(
-        "{entry} did not answer: {detail}\nnext: name another entry with --entry, or check that it runs"
+        "{entry} did not answer: {detail}\nnext: select another entry with --entry, or check that this one is running"
     )]
-    NoEntry {
-        /// The entry.
+    EntryUnreachable {
+        /// Address of the entry.
         entry: String,
-        /// What failed.
+        /// Description of the failure.
         detail: String,
     },
-    /// The answer to a change was lost.
+    /// The answer to a change was lost; the change may have been made.
     #[display(
-        "the answer of {entry} was lost: {detail}\nthis may have been done\nnext: look with `jackdawpier status` before doing it again"
+        "the answer of {entry} was lost: {detail}\nthis may have been done\nnext: check with `jackdawpier status` before repeating it"
     )]
     LostAnswer {
-        /// The entry.
+        /// Address of the entry.
         entry: String,
-        /// What failed.
+        /// Description of the failure.
         detail: String,
     },
-    /// The entry's answer could not be read.
+    /// The entry's answer could not be parsed.
     #[display(
-        "the entry's answer can't be read: {detail}\nnext: check that the tool and the entries have the same version"
+        "the entry's answer can't be parsed: {detail}\nnext: check that the tool and the entries have the same version"
     )]
-    BadAnswer {
-        /// What failed.
+    InvalidAnswer {
+        /// Description of the failure.
         detail: String,
     },
 }
 
 impl Failure {
-    /// The exit status that belongs to the failure.
-    pub(crate) fn status(&self) -> ExitStatus {
+    /// Returns the exit status for the failure.
+    pub(crate) fn exit_status(&self) -> ExitStatus {
         match self {
             Self::BadInput { .. } => ExitStatus::BadInput,
-            Self::NoEntry { .. } => ExitStatus::Unavailable,
-            Self::LostAnswer { .. } | Self::BadAnswer { .. } => ExitStatus::Unknown,
+            Self::EntryUnreachable { .. } => ExitStatus::Unavailable,
+            Self::LostAnswer { .. } | Self::InvalidAnswer { .. } => ExitStatus::Unknown,
         }
     }
 }
--- a/crates/jackdawpier/src/lib.rs
+++ b/crates/jackdawpier/src/lib.rs
@@ -1,4 +1,4 @@
-//! The operators' command-line tool, as a library for its binary and for the reference pages.
+//! The operators' command-line tool, as a library for its binary and the reference pages.
 
 mod args;
 mod client;
@@ -8,18 +8,18 @@
 
 use std::process::ExitCode;
 
-/// Runs the tool's command line; `main` does nothing else.
+/// Runs the tool with the process's command-line arguments.
 pub fn main() -> ExitCode {
     match commands::run(&args::args().run()) {
         Ok(status) => status.into(),
         Err(failure) => {
             eprintln!("{failure}");
-            failure.status().into()
+            failure.exit_status().into()
         }
     }
 }
 
-/// The command line as Markdown, for the generated reference.
+/// Returns the command-line reference as Markdown.
 pub fn command_line_reference() -> String {
     args::args().render_markdown("jackdawpier")
 }
--- a/crates/jackdawpier/src/main.rs
+++ b/crates/jackdawpier/src/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command-line tool's binary.
+//! Binary of the operators' command-line tool.
 
 use std::process::ExitCode;
 
--- a/crates/jackdawpier/src/render.rs
+++ b/crates/jackdawpier/src/render.rs
@@ -1,10 +1,10 @@
-//! Tables for people.
+//! Rendering of results as tables.
 
 use comfy_table::{ContentArrangement, Table, presets::UTF8_HORIZONTAL_ONLY};
 use serde_json::Value;
 
-/// A table with these columns.
-pub(crate) fn table(columns: &[&str]) -> Table {
+/// Returns an empty table with the given columns.
+pub(crate) fn empty_table(columns: &[&str]) -> Table {
     let mut table = Table::new();
     table
         .load_style(UTF8_HORIZONTAL_ONLY)
@@ -13,7 +13,7 @@
     table
 }
 
-/// A JSON value as one cell.
+/// Formats a JSON value as the text of a cell.
 pub(crate) fn cell(value: &Value) -> String {
     match value {
         Value::Null => "-".to_owned(),
@@ -26,9 +26,9 @@
     }
 }
 
-/// A table of the objects in `rows`, one column for each key.
-pub(crate) fn rows(rows: &Value, columns: &[&str]) -> Table {
-    let mut table = table(columns);
+/// Returns a table of the objects in `rows`, with one column per key.
+pub(crate) fn object_table(rows: &Value, columns: &[&str]) -> Table {
+    let mut table = empty_table(columns);
     for row in rows.as_array().into_iter().flatten() {
         table.add_row(columns.iter().map(|column| cell(&row[*column])));
     }
--- a/crates/jackdawpier/tests/lost_answers.rs
+++ b/crates/jackdawpier/tests/lost_answers.rs
@@ -1,4 +1,4 @@
-//! What the tool says when an entry's answer is late or lost.
+//! Output and exit status of the tool when an entry's answer is slow or lost.
 
 use std::{
     io::{Read, Write},
@@ -8,26 +8,26 @@
     time::Duration,
 };
 
-const UNKNOWN: i32 = 5;
-const UNAVAILABLE: i32 = 4;
-const SECOND: Duration = Duration::from_secs(1);
-/// Above the tool's patience with a silent entry.
-const PIECES: usize = 17;
+const EXIT_UNKNOWN: i32 = 5;
+const EXIT_UNAVAILABLE: i32 = 4;
+const CHUNK_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of chunks whose transfer takes longer than the tool's I/O timeout.
+const CHUNKS: usize = 17;
 
-/// An entry that reads the start of each call and does `act`.
-fn entry(act: fn(&mut TcpStream)) -> SocketAddr {
+/// Starts an entry that reads the start of each call and then runs `respond`.
+fn start_entry(respond: fn(&mut TcpStream)) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("there is a free port");
-    let address = listener.local_addr().expect("it is bound");
+    let address = listener.local_addr().expect("the listener is bound");
     thread::spawn(move || {
         for mut caller in listener.incoming().flatten() {
             let _ = caller.read(&mut [0; 4096]);
-            act(&mut caller);
+            respond(&mut caller);
         }
     });
     address
 }
 
-fn run(entry: SocketAddr, args: &[&str]) -> (Option<i32>, String, String) {
+fn run_tool(entry: SocketAddr, args: &[&str]) -> (Option<i32>, String, String) {
     let Output { status, stdout, stderr } = Command::new(env!("CARGO_BIN_EXE_jackdawpier"))
         .args(args)
         .env("JACKDAWPIER_ENTRY", entry.to_string())
@@ -37,37 +37,38 @@
     (status.code(), text(stdout), text(stderr))
 }
 
-/// The tool said that nothing was changed.
+/// Guards against reporting that nothing changed although the request had been sent.
 #[test]
-fn lost_change() {
-    let entry = entry(|caller| drop(caller.shutdown(std::net::Shutdown::Both)));
+fn change_answer_lost() {
+    let entry = start_entry(|caller| drop(caller.shutdown(std::net::Shutdown::Both)));
     for args in [["wave", "start"].as_slice(), &["job", "cancel", "nightly", "id"]] {
-        let (status, _, errors) = run(entry, args);
-        assert_eq!(status, Some(UNKNOWN), "{errors}");
+        let (status, _, errors) = run_tool(entry, args);
+        assert_eq!(status, Some(EXIT_UNKNOWN), "{errors}");
         assert!(errors.contains("may have been done") && errors.contains("next:"), "{errors}");
     }
 }
 
 #[test]
-fn nothing_sent() {
-    let unused = TcpListener::bind("127.0.0.1:0").expect("there is a free port");
-    let address = unused.local_addr().expect("it is bound");
-    drop(unused);
-    let (status, _, errors) = run(address, &["wave", "start"]);
-    assert_eq!(status, Some(UNAVAILABLE), "{errors}");
+fn connection_refused() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("there is a free port");
+    let address = listener.local_addr().expect("the listener is bound");
+    drop(listener);
+    let (status, _, errors) = run_tool(address, &["wave", "start"]);
+    assert_eq!(status, Some(EXIT_UNAVAILABLE), "{errors}");
 }
 
-/// A document that takes long on the operator's line was given up and began again from its start.
+/// Guards against a timeout for the whole call: a document that arrives slowly but steadily would
+/// be aborted and fetched again from the beginning.
 #[test]
-fn long_answer() {
-    let entry = entry(|caller| {
+fn slow_answer() {
+    let entry = start_entry(|caller| {
         let _ = caller.write_all(b"HTTP/1.1 200 OK\r\ncontent-length: 19\r\n\r\n\"");
-        for _ in 0..PIECES {
-            thread::sleep(SECOND);
+        for _ in 0..CHUNKS {
+            thread::sleep(CHUNK_INTERVAL);
             let _ = caller.write_all(b"x");
         }
         let _ = caller.write_all(b"\"");
     });
-    let (status, shown, errors) = run(entry, &["get", "test"]);
-    assert_eq!((status, shown.trim()), (Some(0), "\"xxxxxxxxxxxxxxxxx\""), "{errors}");
+    let (status, output, errors) = run_tool(entry, &["get", "test"]);
+    assert_eq!((status, output.trim()), (Some(0), "\"xxxxxxxxxxxxxxxxx\""), "{errors}");
 }
