--- a/crates/jackdawpier_entry/src/acceptance.rs
+++ b/crates/jackdawpier_entry/src/acceptance.rs
@@ -28,7 +28,8 @@
     ports::{CallError, CallResult, Item, Platform, Transaction, TransactionOutcome},
 };
 
-/// Maximum number of jobs in one transaction: each takes two conditions and a value of at most 32 rows.
+/// Maximum number of jobs in one transaction: each takes three rows, two conditions and a value, and a
+/// transaction has at most 32 rows.
 const MAX_JOBS_PER_WRITE: usize = 10;
 /// Maximum bytes of jobs in one transaction, except for a single larger job, so that a small job doesn't
 /// wait until large ones are sent over a slow link.
@@ -71,7 +72,7 @@
     value: Vec<u8>,
     /// When its caller stops waiting.
     deadline: Now,
-    /// Whether a write that contains it got no answer.
+    /// Whether a write that contains the job got no answer.
     may_be_stored: bool,
     outcome: oneshot::Sender<Acceptance>,
 }
@@ -81,7 +82,7 @@
     waiting: VecDeque<QueuedJob>,
     /// Number of batches with jobs whose outcome isn't known yet.
     open_batches: usize,
-    next_write: u64,
+    last_write: u64,
     /// When each write in flight was sent, by its number.
     in_flight: BTreeMap<u64, Now>,
     /// When a write was last answered.
@@ -166,10 +167,11 @@
         waiting.len() < count
     }
 
+    /// Notes that a write is sent and returns its number.
     fn on_write_sent(&self) -> u64 {
         let mut queue = self.queue.borrow_mut();
-        queue.next_write += 1;
-        let number = queue.next_write;
+        queue.last_write += 1;
+        let number = queue.last_write;
         queue.in_flight.insert(number, clock::now());
         number
     }
--- a/crates/jackdawpier_entry/src/http_client.rs
+++ b/crates/jackdawpier_entry/src/http_client.rs
@@ -93,16 +93,16 @@
 #[derive(Debug, Clone, Copy, Display, PartialEq, Eq)]
 pub enum SendFailure {
     /// The connection wasn't established in time.
-    #[display("it doesn't open connections")]
+    #[display("the connection timed out")]
     Timeout,
     /// The host refused the connection.
-    #[display("it refuses connections")]
+    #[display("the connection was refused")]
     Refused,
     /// The limit of open files of this process or system is reached.
-    #[display("no file descriptor is left here")]
+    #[display("no file descriptor is free in this process or system")]
     NoDescriptor,
     /// All connections that the client may open are in use.
-    #[display("all connections for such calls are in use")]
+    #[display("all connections of this client are in use")]
     NoConnectionSlot,
     /// The connection failed for another reason.
     #[display("the connection failed")]
--- a/crates/jackdawpier_entry/tests/connections.rs
+++ b/crates/jackdawpier_entry/tests/connections.rs
@@ -105,7 +105,7 @@
     });
 }
 
-/// The idle timeout of connections passed while their next requests were unread in the kernel.
+/// Connections were closed when their idle timeout passed while their next requests were unread in the kernel.
 #[test]
 fn unread_request() {
     const CALLERS: usize = 32;
