--- a/crates/jackdawpier_store/tests/slow_link.rs
+++ b/crates/jackdawpier_store/tests/slow_link.rs
@@ -24,7 +24,7 @@
 fn store() -> SocketAddr {
     spawn(|ready| {
         store_server::run(any_port(), 1, move |at| {
-            ready.send(at).expect("the test receives the address")
+            ready.send(at).expect("the test receives the address");
         })
     })
 }
