--- a/crates/jackdawpier_entry/tests/key_proof.rs
+++ b/crates/jackdawpier_entry/tests/key_proof.rs
@@ -30,7 +30,7 @@
 fn steady_proof() {
     run(async {
         let fake = Fake::default();
-        let active = start(&fake, "1 standing:shop").await;
+        let active = start(&fake, "1 valid:shop").await;
         for _ in 0..40 {
             tokio::time::sleep(Duration::from_millis(100)).await;
             assert!(active.can_verify_keys(clock::now()));
@@ -45,7 +45,7 @@
 fn stalled_watch() {
     run(async {
         let fake = Fake::default();
-        let active = start(&fake, "1 standing:shop").await;
+        let active = start(&fake, "1 valid:shop").await;
         fake.stall_watches(true);
         fake.put(KEY, b"2 other:shop");
         let version = || active.get().map(|current| current.version);
@@ -60,7 +60,7 @@
 fn store_outage() {
     run(async {
         let fake = Fake::default();
-        let active = start(&fake, "1 standing:shop").await;
+        let active = start(&fake, "1 valid:shop").await;
         fake.set_down(true);
         tokio::time::sleep(VALID_FOR).await;
         assert!(!active.can_verify_keys(clock::now()));
@@ -76,7 +76,7 @@
 fn lost_answers() {
     run(async {
         let fake = Fake::default();
-        let active = start(&fake, "1 standing:shop").await;
+        let active = start(&fake, "1 valid:shop").await;
         fake.fail_next_writes(&[WriteFault::AnswerLost; 20]);
         for _ in 0..50 {
             tokio::time::sleep(Duration::from_millis(100)).await;
@@ -91,7 +91,7 @@
 fn refused_writes() {
     run(async {
         let fake = Fake::default();
-        let active = start(&fake, "1 standing:shop").await;
+        let active = start(&fake, "1 valid:shop").await;
         let document_reads = || fake.reads_of(KEY) + fake.listings_of(KEY);
         let before = document_reads();
         fake.fail_next_writes(&[WriteFault::Refused; 200]);
@@ -109,7 +109,7 @@
 fn delayed_answer() {
     run(async {
         let fake = Fake::default();
-        let active = start(&fake, "1 standing:shop").await;
+        let active = start(&fake, "1 valid:shop").await;
         fake.set_delay(Duration::from_millis(1000));
         let since = clock::now();
         assert!(active.wait_for_proof_since(since, Duration::from_secs(4)).await);
@@ -122,7 +122,7 @@
 fn many_unknown_keys() {
     run(async {
         let fake = Fake::default();
-        let active = start(&fake, "1 standing:shop").await;
+        let active = start(&fake, "1 valid:shop").await;
         let before = fake.commits();
         let answered = Rc::new(Cell::new(0));
         for number in 0..100 {
@@ -158,7 +158,7 @@
 fn unreadable_document() {
     run(async {
         let fake = Fake::default();
-        let active = start(&fake, "1 standing:shop").await;
+        let active = start(&fake, "1 valid:shop").await;
         tokio::time::sleep(Duration::from_millis(500)).await;
         fake.put(KEY, b"unreadable");
         let before = fake.commits() + fake.reads_of(KEY) + fake.listings_of(KEY);
--- a/crates/jackdawpier_entry/tests/shared_proof.rs
+++ b/crates/jackdawpier_entry/tests/shared_proof.rs
@@ -43,7 +43,7 @@
 
 async fn start(fake: &Fake, count: usize, valid_for: Duration) -> Vec<Prover> {
     if fake.value(CONFIGURATION).is_none() {
-        fake.put(CONFIGURATION, b"1 standing:shop");
+        fake.put(CONFIGURATION, b"1 valid:shop");
     }
     let provers: Vec<_> = (0..count).map(|_| Prover::start(fake, valid_for)).collect();
     assert!(wait_until(|| provers.iter().all(Prover::can_prove)).await);
