--- a/crates/jackdawpier_entry/src/speed.rs
+++ b/crates/jackdawpier_entry/src/speed.rs
@@ -19,7 +19,7 @@
 /// A machine at less than this share of its usual speed is slow. Changes of frequency and other load on
 /// the same core can reduce the speed to a third for a quarter of a second, which is also the cost of a
 /// change of owners.
-const SLOW_BELOW: f64 = 0.25;
+const MIN_RELATIVE_SPEED: f64 = 0.25;
 
 /// Measures how long the computation takes now.
 pub fn measure() -> Duration {
@@ -73,7 +73,7 @@
 
     /// Returns whether the machine is so slow that an entry on another one should own the fleet.
     pub fn is_slow(&self) -> bool {
-        self.relative_speed() < SLOW_BELOW
+        self.relative_speed() < MIN_RELATIVE_SPEED
     }
 }
 
