--- a/crates/jackdawpierd/src/capacity.rs
+++ b/crates/jackdawpierd/src/capacity.rs
@@ -50,7 +50,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// Interval at which an order without a visible effect is sent again, under the same id.
 const RESEND_INTERVAL: Duration = Duration::from_secs(3);
-/// Time after its first sending after which an order counts as failed.
+/// Time from its first sending after which an order counts as failed.
 const ORDER_TIMEOUT: Duration = Duration::from_secs(1800);
 
 const MILLI: u32 = 1_000;
@@ -93,12 +93,15 @@
 /// The fleet as the instance list shows it, and the state that only the holder has.
 struct CapacityState {
     fleet: Fleet,
+    /// Instance ids by `InstanceIx`.
     ids: Vec<Arc<str>>,
     by_id: HashMap<Arc<str>, InstanceIx>,
+    /// Numbers of failure domains, by their kind and name.
     domain_ids: HashMap<String, u32>,
     pools: BTreeMap<Arc<str>, PoolIx>,
     planner: Planner,
     holder: Option<HolderState>,
+    /// Number of acquisitions of the role so far.
     next_generation: u64,
 }
 
@@ -107,6 +110,7 @@
 pub(crate) struct CapacityGauges {
     /// Name, margin and buffer of each pool, in instances.
     pub(crate) pools: Vec<(String, i64, i64)>,
+    /// Number of instances out for maintenance.
     pub(crate) wave_out: usize,
     pub(crate) is_wave_stopped: bool,
     pub(crate) moves: u64,
--- a/crates/jackdawpierd/src/capacity/holder_state.rs
+++ b/crates/jackdawpierd/src/capacity/holder_state.rs
@@ -41,6 +41,7 @@
 
 /// State of the role while this entry holds it.
 pub(super) struct HolderState {
+    /// Number of this acquisition of the role; results of store calls of earlier ones are ignored.
     pub(super) generation: u64,
     pub(super) cell: Cell<CapacityRecord>,
     pub(super) wave_id: u64,
@@ -50,7 +51,9 @@
     /// Steps of the current wave (instance, progress, was serving), recovered before the fleet was
     /// known.
     pub(super) recovered_steps: Vec<(Arc<str>, StepProgress, bool)>,
+    /// Unfinished orders, by instance.
     pub(super) orders: HashMap<Arc<str>, PendingOrder>,
+    /// The reason why the wave doesn't take out more instances now, if any.
     pub(super) hold_reason: Option<HoldReason>,
     pub(super) last_order_number: u64,
     pub(super) epoch: u64,
@@ -68,7 +71,7 @@
     pub(super) demand: DemandPattern,
     pub(super) slot: u64,
     /// Whether this holder has observed the slot from its start.
-    pub(super) is_complete: bool,
+    pub(super) is_observed_from_start: bool,
     pub(super) peak_milli: u32,
 }
 
@@ -105,8 +108,12 @@
                     self.days.insert(day.day, day);
                 }
                 CapacityRecord::Demand { service, demand } => {
-                    let learned =
-                        LearnedDemand { demand, slot: 0, is_complete: false, peak_milli: 0 };
+                    let learned = LearnedDemand {
+                        demand,
+                        slot: 0,
+                        is_observed_from_start: false,
+                        peak_milli: 0,
+                    };
                     self.learned_demands.insert(service, learned);
                 }
                 CapacityRecord::Wave { id, state } => {
@@ -152,13 +159,13 @@
             let milli = inputs.demand_milli.get(service).copied().unwrap_or(0);
             let learned = self.learned_demands.entry(Arc::clone(service)).or_insert_with(|| {
                 let demand = DemandPattern::new(peak.need);
-                LearnedDemand { demand, slot, is_complete: false, peak_milli: 0 }
+                LearnedDemand { demand, slot, is_observed_from_start: false, peak_milli: 0 }
             });
             learned.demand.set_peak(peak.need);
             if learned.slot != slot {
                 // A slot that was observed only in part has no valid peak.
                 let is_next = learned.slot + 1 == slot;
-                if is_next && learned.is_complete && learned.peak_milli > 0 {
+                if is_next && learned.is_observed_from_start && learned.peak_milli > 0 {
                     let start = SLOT_LENGTH * u32::try_from(learned.slot).unwrap_or(u32::MAX);
                     let demand = f64::from(learned.peak_milli) / f64::from(MILLI);
                     learned.demand.observe(start, day_kind(start), demand);
@@ -169,7 +176,7 @@
                     self.cell.put(format!("demand/{service}").into(), &record);
                 }
                 learned.slot = slot;
-                learned.is_complete = is_next;
+                learned.is_observed_from_start = is_next;
                 learned.peak_milli = 0;
             }
             learned.peak_milli = learned.peak_milli.max(milli);
--- a/crates/jackdawpierd/src/control.rs
+++ b/crates/jackdawpierd/src/control.rs
@@ -34,6 +34,7 @@
     });
 }
 
+/// State of the control loop.
 struct ControlLoop {
     releasing_since: HashMap<String, Now>,
     next_slow_tick_at: Now,
--- a/crates/jackdawpierd/src/entry.rs
+++ b/crates/jackdawpierd/src/entry.rs
@@ -50,6 +50,7 @@
 /// The shared state of one daemon.
 pub(crate) struct Entry {
     pub(crate) settings: Settings,
+    /// Random number of this process, which distinguishes restarts of the entry.
     pub(crate) incarnation: u64,
     pub(crate) endpoint: PeerEndpoint,
     pub(crate) store: StoreClient,
--- a/crates/jackdawpierd/src/service.rs
+++ b/crates/jackdawpierd/src/service.rs
@@ -71,6 +71,7 @@
 /// A request that has no outcome yet.
 pub(crate) struct ActiveRequest {
     pub(crate) work: Arc<WorkRequest>,
+    /// Where to send the outcome, unless the caller has been answered already.
     pub(crate) reply: Option<oneshot::Sender<Outcome>>,
     pub(crate) deadline: Now,
     pub(crate) is_idempotent: bool,
@@ -78,12 +79,16 @@
 
 /// State that only the owner of the service's shard has.
 pub(crate) struct OwnedShard {
+    /// Number of this acquisition of the shard; results of store calls of earlier ones are ignored.
     pub(crate) generation: u64,
     pub(crate) cell: Cell<CellState>,
     pub(crate) dedupe: Dedupe,
     pub(crate) jobs: JobQueue,
+    /// Callers to answer once their job is durable.
     pub(crate) accept_waiters: HashMap<JobId, Vec<oneshot::Sender<Outcome>>>,
+    /// Repeats that wait for the outcome of the first request with their key.
     pub(crate) waiters: HashMap<Ticket, oneshot::Sender<Outcome>>,
+    /// Requests whose intent isn't durable yet.
     pub(crate) uncommitted_intents: HashSet<Ticket>,
     pub(crate) opened_at: Now,
     pub(crate) is_releasing: bool,
@@ -93,7 +98,7 @@
 pub(crate) struct ServiceState {
     pub(crate) dispatcher: Dispatcher,
     pub(crate) requests: HashMap<Ticket, ActiveRequest>,
-    pub(crate) addresses: HashMap<ExecutorId, String>,
+    pub(crate) executor_addresses: HashMap<ExecutorId, String>,
     pub(crate) worker_addresses: HashMap<WorkerId, String>,
     pub(crate) classes: Vec<Class>,
     /// Lease renewals of the tasks of a shard that this entry lost; they are sent until a successor
@@ -151,7 +156,7 @@
         let state = ServiceState {
             dispatcher: Dispatcher::new(limits.queue_per_customer),
             requests: HashMap::new(),
-            addresses: HashMap::new(),
+            executor_addresses: HashMap::new(),
             worker_addresses: HashMap::new(),
             classes: Vec::new(),
             orphaned_task_renewals: Vec::new(),
--- a/crates/jackdawpierd/src/service_state.rs
+++ b/crates/jackdawpierd/src/service_state.rs
@@ -42,7 +42,7 @@
 
 /// Returns the cell key of an idempotency key, which is scoped to its class and customer. The
 /// customer's length distinguishes customer `a/b` with key `c` from customer `a` with key `b/c`.
-fn key_cell_key(work: &WorkRequest) -> RequestKey {
+fn idempotency_cell_key(work: &WorkRequest) -> RequestKey {
     let WorkRequest { class, customer, key, .. } = work;
     let key = key.as_deref().unwrap_or_default();
     format!("k/{class}/{}/{customer}/{key}", customer.len()).into()
@@ -129,7 +129,7 @@
         let deadline = now + work.time_left;
         let admitted = self.dispatcher.check_admission(now, &work.class, &work.customer, deadline);
         let owned = self.owned.as_mut().expect("the caller has checked the ownership");
-        let cell_key = key_cell_key(&work);
+        let cell_key = idempotency_cell_key(&work);
         match owned.dedupe.begin(&cell_key, fingerprint(&work), ticket) {
             Decision::Wait => {
                 owned.waiters.insert(ticket, reply);
@@ -195,7 +195,7 @@
         match command {
             Command::Send { ticket, executor } => {
                 let Some(running) = self.requests.get(&ticket) else { return Vec::new() };
-                let address = self.addresses.get(&executor).cloned().unwrap_or_default();
+                let address = self.executor_addresses.get(&executor).cloned().unwrap_or_default();
                 let (work, deadline) = (Arc::clone(&running.work), running.deadline);
                 vec![Action::Send { ticket, executor, address, work, deadline }]
             }
@@ -229,7 +229,7 @@
         let Some(running) = self.requests.remove(&ticket) else { return Vec::new() };
         let mut actions = Vec::new();
         if running.work.key.is_some() {
-            actions = self.record_key_outcome(now, &key_cell_key(&running.work), &outcome);
+            actions = self.record_key_outcome(now, &idempotency_cell_key(&running.work), &outcome);
         }
         if let Some(reply) = running.reply {
             let _ = reply.send(outcome);
@@ -430,7 +430,7 @@
         }
         let mut commands = Vec::new();
         for instance in executors() {
-            self.addresses.insert(instance.id.clone(), instance.address.clone());
+            self.executor_addresses.insert(instance.id.clone(), instance.address.clone());
             let info = ExecutorInfo {
                 id: instance.id.clone(),
                 zone: instance.zone.clone(),
