--- a/crates/jackdawpier_settings/src/loader.rs
+++ b/crates/jackdawpier_settings/src/loader.rs
@@ -45,7 +45,7 @@
     if size <= MAX_RESOLVED_BYTES {
         return Ok(());
     }
-    let message = format!("with defaults and aliases resolved, the declaration has {size} bytes");
+    let message = format!("with its defaults and aliases the declaration has {size} bytes");
     let suggestion =
         format!("at most {MAX_RESOLVED_BYTES} bytes; split the classes over several deployments");
     let at = Position::default();
@@ -68,13 +68,14 @@
         .map(|at| Position { line: at.line(), column: at.column() })
         .unwrap_or_default();
     let rendered = error.without_snippet().to_string();
-    let message = rendered.lines().next().unwrap_or("unreadable").to_owned();
+    let message = rendered.lines().next().unwrap_or("not readable").to_owned();
     match find_forbidden_key(&message) {
         Some(key) => FORBIDDEN_KEY.finding(
             file,
             position,
             key.to_owned(),
-            "operators set targets per class, never weights or instance addresses".to_owned(),
+            "operators drive the system by targets per class, never by weights or instance addresses"
+                .to_owned(),
             "remove the key and state a target (capacity_instances, may_lose_instances, \
              finish_within_ms, ceilings)"
                 .to_owned(),
--- a/crates/jackdawpier_settings/src/rules/declaration/class_name.rs
+++ b/crates/jackdawpier_settings/src/rules/declaration/class_name.rs
@@ -14,7 +14,7 @@
         .flat_map(|class| [("classes.name", &class.name), ("classes.service", &class.service)]);
     let names = std::iter::once(("deployment", &options.deployment)).chain(classes);
     for (field, name) in names.filter(|(_, name)| !is_valid_name(&name.value)) {
-        let message = format!("`{}` is not a valid name", name.value);
+        let message = format!("`{}` is not a name", name.value);
         checker.report(
             &CLASS_NAME,
             name,
--- a/crates/jackdawpier_settings/src/rules/declaration/duplicate_class.rs
+++ b/crates/jackdawpier_settings/src/rules/declaration/duplicate_class.rs
@@ -15,13 +15,13 @@
     let mut seen = BTreeSet::new();
     for class in &options.classes {
         if !seen.insert(class.name.value.as_str()) {
-            let message = format!("`{}` is declared more than once", class.name.value);
+            let message = format!("`{}` is declared twice", class.name.value);
             checker.report(
                 &DUPLICATE_CLASS,
                 &class.name,
                 "classes.name",
                 message,
-                "declare each class once",
+                "one entry a class",
             );
         }
     }
--- a/crates/jackdawpier_settings/src/rules/declaration/loss_above_capacity.rs
+++ b/crates/jackdawpier_settings/src/rules/declaration/loss_above_capacity.rs
@@ -23,7 +23,7 @@
                 loss,
                 "classes.may_lose_instances",
                 message,
-                "less than capacity_instances",
+                "fewer than the class needs",
             );
         }
     }
--- a/crates/jackdawpier_settings/src/rules/declaration/zero_target.rs
+++ b/crates/jackdawpier_settings/src/rules/declaration/zero_target.rs
@@ -16,7 +16,7 @@
     for class in &options.classes {
         let within = &class.finish_within_ms;
         if within.value == 0 || within.value > DAY_MS {
-            let message = format!("{} ms is out of range", within.value);
+            let message = format!("{} ms is impossible", within.value);
             checker.report(
                 &ZERO_TARGET,
                 within,
@@ -31,7 +31,7 @@
                 &ZERO_TARGET,
                 capacity,
                 "classes.capacity_instances",
-                "must not be zero",
+                "is zero",
                 "at least 1",
             );
         }
