--- a/crates/jackdawpier_proofs/tests/budgets.rs
+++ b/crates/jackdawpier_proofs/tests/budgets.rs
@@ -1,4 +1,5 @@
-//! Availability budgets through waves and failures, and allowances across holders.
+//! Checks that maintenance waves and failures respect availability budgets, and that allowances
+//! moved between holders never exceed the total budget.
 
 use jackdawpier_capacity::{
     InstanceIx,
@@ -16,7 +17,7 @@
 const STEPS: u32 = 200;
 const POOLS: u32 = 4;
 
-fn seeds() -> u64 {
+fn seed_count() -> u64 {
     std::env::var("HISTORIES").ok().and_then(|text| text.parse().ok()).unwrap_or(SEEDS)
 }
 
@@ -42,9 +43,9 @@
     fleet
 }
 
-/// Whether every pool that kept its target before still does after the loss of any one domain of
-/// its kind, counted by hand from the instances.
-fn worst_case(fleet: &Fleet, pool: u32) -> i64 {
+/// Returns how many instances `pool` has beyond its need after the loss of its largest failure
+/// domain; negative if too few remain. Counted from the instances, independently of the fleet.
+fn worst_case_margin(fleet: &Fleet, pool: u32) -> i64 {
     let target = fleet.pool(pool).target;
     let serving: Vec<&Location> = fleet
         .instances()
@@ -53,31 +54,32 @@
         .map(|i| &i.location)
         .collect();
     let total = serving.len() as i64;
-    let worst = match target.survive {
+    let worst_loss = match target.survive {
         FailureDomain::Instance => total.min(1),
         kind => serving
             .iter()
-            .map(|place| {
-                serving.iter().filter(|p| p.domain(kind) == place.domain(kind)).count() as i64
+            .map(|location| {
+                serving.iter().filter(|other| other.domain(kind) == location.domain(kind)).count()
+                    as i64
             })
             .max()
             .unwrap_or(0),
     };
-    total - worst + i64::from(target.may_lose) - i64::from(target.need)
+    total - worst_loss + i64::from(target.may_lose) - i64::from(target.need)
 }
 
 fn replan(fleet: &mut Fleet, planner: &mut Planner) {
     (0..POOLS).for_each(|pool| planner.mark_changed(pool));
-    for decided in planner
+    for assignment in planner
         .replan(Now::ZERO, fleet, |_| ShrinkPolicy { is_blocked: true, ..ShrinkPolicy::default() })
     {
-        fleet.assign(decided.instance, decided.to, Phase::Serving);
+        fleet.assign(assignment.instance, assignment.to, Phase::Serving);
     }
 }
 
-/// One history: a wave with failures and repairs in between. With `ignores_budget`, whatever the
-/// wave holds back is taken out all the same.
-fn history(seed: u64, ignores_budget: bool) -> Result<usize, String> {
+/// Runs a wave with random failures and repairs and returns the number of instances done. With
+/// `ignores_budget`, also takes out one instance that the budget protects.
+fn run_wave_history(seed: u64, ignores_budget: bool) -> Result<usize, String> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut fleet = random_fleet(&mut random);
     let mut planner = Planner::new(Ceilings::default());
@@ -85,28 +87,29 @@
     let count = fleet.instances().len() as InstanceIx;
     let mut wave = Wave::new(0..count);
     for step in 0..STEPS {
-        let before: Vec<i64> = (0..POOLS).map(|pool| worst_case(&fleet, pool)).collect();
+        let margins_before: Vec<i64> =
+            (0..POOLS).map(|pool| worst_case_margin(&fleet, pool)).collect();
         let (starts, _) = wave.start_steps(&mut fleet);
         if ignores_budget && step == 5 {
-            let victim = (0..count)
+            let instance_over_budget = (0..count)
                 .find(|ix| fleet.instance(*ix).phase == Phase::Serving && !fleet.can_take_out(*ix));
-            if let Some(ix) = victim {
+            if let Some(ix) = instance_over_budget {
                 let pool = fleet.instance(ix).pool;
                 fleet.assign(ix, pool, Phase::InMaintenance);
             }
         }
         for pool in 0..POOLS {
-            let after = worst_case(&fleet, pool);
-            if after < 0 && after < before[pool as usize] {
+            let margin = worst_case_margin(&fleet, pool);
+            if margin < 0 && margin < margins_before[pool as usize] {
                 return Err(format!(
-                    "step {step}: the wave took pool {pool} from {} to {after}",
-                    before[pool as usize]
+                    "step {step}: the wave took the margin of pool {pool} from {} to {margin}",
+                    margins_before[pool as usize]
                 ));
             }
         }
-        let ended: Vec<InstanceIx> =
+        let finished: Vec<InstanceIx> =
             wave.out().iter().copied().filter(|_| random.random_bool(0.6)).collect();
-        for ix in ended {
+        for ix in finished {
             let pool = fleet.instance(ix).pool;
             let phase = if pool.is_some() { Phase::Serving } else { Phase::Free };
             fleet.assign(ix, pool, phase);
@@ -134,23 +137,24 @@
 
 #[test]
 fn wave_budgets() {
-    for seed in 0..seeds() {
-        if let Err(text) = history(seed, false) {
+    for seed in 0..seed_count() {
+        if let Err(text) = run_wave_history(seed, false) {
             panic!("seed {seed}: {text}");
         }
     }
 }
 
 #[test]
-fn waves_done() {
-    let done: usize = (0..20).map(|seed| history(seed, false).expect("budgets hold")).sum();
-    assert!(done > 500, "{done} instances done in twenty histories");
+fn waves_complete() {
+    let completed: usize =
+        (0..20).map(|seed| run_wave_history(seed, false).expect("the budgets are kept")).sum();
+    assert!(completed > 500, "{completed} instances done in twenty histories");
 }
 
 #[test]
 fn budget_off() {
-    let noticed = (0..50).filter(|seed| history(*seed, true).is_err()).count();
-    assert!(noticed > 0, "a wave beyond the budget goes unnoticed");
+    let detected = (0..50).filter(|seed| run_wave_history(*seed, true).is_err()).count();
+    assert!(detected > 0, "no history detected that the budget was exceeded");
 }
 
 #[test]
@@ -159,63 +163,66 @@
     let mut fleet = random_fleet(&mut random);
     replan(&mut fleet, &mut Planner::new(Ceilings::default()));
     let mut wave = Wave::new(0..fleet.instances().len() as InstanceIx);
-    let mut touched = 0;
+    let mut started = 0;
     for _ in 0..50 {
         let (starts, _) = wave.start_steps(&mut fleet);
-        touched += starts.len();
+        started += starts.len();
         starts.iter().for_each(|ix| wave.finish_step(*ix, false));
     }
     assert_eq!(wave.state(), WaveState::Paused { by_itself: true });
-    assert!(touched < fleet.instances().len(), "a wave whose instances fail stops by itself");
+    assert!(started < fleet.instances().len(), "a wave pauses when its instances fail");
 }
 
-/// Two holders move allowances over a lossy way; what may be out never exceeds the budget.
-fn escrow_history(seed: u64, doubles_transfers: bool) -> Result<u32, String> {
+/// Transfers allowances between two holders whose acknowledgements may be lost, and checks that the
+/// instances taken out never exceed the budget. With `changes_transfer_ids`, a repeated transfer has
+/// a new id, so that the receiver cannot recognise it. Returns the number of instances taken out.
+fn run_escrow_history(seed: u64, changes_transfer_ids: bool) -> Result<u32, String> {
     const BUDGET: u32 = 8;
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let mut holders = [Allowance::new(BUDGET), Allowance::new(0)];
-    let mut under_way: Vec<(usize, u64, u32)> = Vec::new();
-    let mut steps = 0;
+    let mut in_flight: Vec<(usize, u64, u32)> = Vec::new();
+    let mut spent_count = 0;
     for transfer in 0..200_u64 {
-        let giver = random.random_range(0..2_usize);
+        let sender = random.random_range(0..2_usize);
         let count = random.random_range(1..4);
-        if holders[giver].send(transfer, count).is_ok() {
-            under_way.push((1 - giver, transfer, count));
+        if holders[sender].send(transfer, count).is_ok() {
+            in_flight.push((1 - sender, transfer, count));
         }
-        if !under_way.is_empty() && random.random_bool(0.7) {
-            let at = random.random_range(0..under_way.len());
-            let (taker, id, count) = under_way[at];
-            holders[taker].receive(id, count);
-            // The answer may be lost: the transfer is then sent again.
+        if !in_flight.is_empty() && random.random_bool(0.7) {
+            let index = random.random_range(0..in_flight.len());
+            let (receiver, id, count) = in_flight[index];
+            holders[receiver].receive(id, count);
+            // Without an acknowledgement the transfer is sent again.
             if random.random_bool(0.5) {
-                holders[1 - taker].confirm(id);
-                under_way.remove(at);
-            } else if doubles_transfers {
-                under_way[at].1 += 10_000;
+                holders[1 - receiver].confirm(id);
+                in_flight.remove(index);
+            } else if changes_transfer_ids {
+                in_flight[index].1 += 10_000;
             }
         }
-        let spender = random.random_range(0..2_usize);
+        let holder = random.random_range(0..2_usize);
         if random.random_bool(0.5) {
-            steps += u32::from(holders[spender].spend().is_ok());
+            spent_count += u32::from(holders[holder].spend().is_ok());
         } else {
-            holders[spender].refund();
+            holders[holder].refund();
         }
         let spent: u32 = holders.iter().map(|holder| holder.spent).sum();
         if spent > BUDGET {
-            return Err(format!("{spent} are out of a budget of {BUDGET}"));
+            return Err(format!("{spent} instances are out, but the budget is {BUDGET}"));
         }
     }
-    Ok(steps)
+    Ok(spent_count)
 }
 
 #[test]
 fn escrow_sum() {
-    let steps: u32 =
-        (0..seeds()).map(|seed| escrow_history(seed, false).expect("the sum holds")).sum();
-    assert!(steps > 1_000);
+    let spent_count: u32 = (0..seed_count())
+        .map(|seed| run_escrow_history(seed, false).expect("the budget is not exceeded"))
+        .sum();
+    assert!(spent_count > 1_000);
 }
 
 #[test]
-fn recognition_off() {
-    assert!((0..100).any(|seed| escrow_history(seed, true).is_err()));
+fn deduplication_off() {
+    assert!((0..100).any(|seed| run_escrow_history(seed, true).is_err()));
 }
--- a/crates/jackdawpier_proofs/tests/jobs.rs
+++ b/crates/jackdawpier_proofs/tests/jobs.rs
@@ -1,4 +1,5 @@
-//! Durable jobs over seeded histories: owners die, starts and answers come late, workers vanish.
+//! Checks the invariants of durable jobs over seeded histories of owner changes, delayed messages,
+//! partitions and worker restarts.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -20,18 +21,18 @@
 const LEASE: Duration = Duration::from_secs(3);
 const RETENTION: Duration = Duration::from_secs(3600);
 const FAULTY_STEPS: u32 = 600;
-const HEALING_STEPS: u32 = 600;
+const RECOVERY_STEPS: u32 = 600;
 const WORKERS: u32 = 4;
 const SEEDS: u64 = 60;
 
-/// Mechanisms that a test may turn off.
+/// Mechanisms disabled by a test to show that the checks detect their absence.
 #[derive(Debug, Clone, Copy, Default)]
-struct Switches {
-    /// Tasks are started before their claim is durable.
+struct Mutations {
+    /// Starts tasks before their claim is durable.
     skips_claim: bool,
-    /// A new owner takes claimed jobs for waiting ones.
-    forgets_claims: bool,
-    /// The caller is told "accepted" before the job is durable.
+    /// Treats claimed jobs as queued when a new owner recovers them.
+    requeues_claimed: bool,
+    /// Reports a job as accepted before it is durable.
     accepts_early: bool,
 }
 
@@ -40,34 +41,34 @@
     state: TaskState,
     ends_at: Now,
     lease_until: Now,
-    is_failing: bool,
+    will_fail: bool,
 }
 
 #[derive(Default)]
 struct Worker {
     tasks: BTreeMap<JobId, Task>,
-    is_cut: bool,
+    is_partitioned: bool,
 }
 
 enum Message {
-    Start { owner: u64, worker: WorkerId, task: StartTask },
-    Answer { owner: u64, job: JobId, attempt: u32, end: StartOutcome },
-    Commit { owner: u64, number: u64 },
+    Start { owner_epoch: u64, worker: WorkerId, task: StartTask },
+    Answer { owner_epoch: u64, job: JobId, attempt: u32, outcome: StartOutcome },
+    Commit { owner_epoch: u64, write_number: u64 },
 }
 
 struct World {
-    switches: Switches,
+    mutations: Mutations,
     random: ChaCha8Rng,
     now: Now,
-    owner: u64,
+    owner_epoch: u64,
     queue: JobQueue,
     workers: BTreeMap<WorkerId, Worker>,
     durable: BTreeMap<JobId, Job>,
-    unwritten: Vec<(u64, Job)>,
-    writes: u64,
-    later: Vec<(Now, Message)>,
+    pending_writes: Vec<(u64, Job)>,
+    last_write: u64,
+    in_transit: Vec<(Now, Message)>,
     accepted: Vec<JobId>,
-    runs: BTreeMap<JobId, u32>,
+    run_counts: BTreeMap<JobId, u32>,
     completions: BTreeMap<JobId, u32>,
     next_job: u32,
 }
@@ -88,11 +89,11 @@
 fn new_queue() -> JobQueue {
     let mut queue = JobQueue::new(LEASE, RETENTION);
     queue.set_classes([&class()]);
-    list_workers(&mut queue);
+    upsert_workers(&mut queue);
     queue
 }
 
-fn list_workers(queue: &mut JobQueue) {
+fn upsert_workers(queue: &mut JobQueue) {
     for index in 0..WORKERS {
         queue.upsert_worker(WorkerInfo {
             id: format!("worker-{index}").into(),
@@ -105,93 +106,96 @@
 }
 
 impl World {
-    fn new(seed: u64, switches: Switches) -> Self {
+    fn new(seed: u64, mutations: Mutations) -> Self {
         let workers = (0..WORKERS).map(|ix| (format!("worker-{ix}").into(), Worker::default()));
         Self {
-            switches,
+            mutations,
             random: ChaCha8Rng::seed_from_u64(seed),
             now: Now::ZERO,
-            owner: 1,
+            owner_epoch: 1,
             queue: new_queue(),
             workers: workers.collect(),
             durable: BTreeMap::new(),
-            unwritten: Vec::new(),
-            writes: 0,
-            later: Vec::new(),
+            pending_writes: Vec::new(),
+            last_write: 0,
+            in_transit: Vec::new(),
             accepted: Vec::new(),
-            runs: BTreeMap::new(),
+            run_counts: BTreeMap::new(),
             completions: BTreeMap::new(),
             next_job: 0,
         }
     }
 
     fn run(mut self) -> Result<usize, String> {
-        for step in 0..FAULTY_STEPS + HEALING_STEPS {
+        for step in 0..FAULTY_STEPS + RECOVERY_STEPS {
             self.now += STEP;
             let is_faulty = step < FAULTY_STEPS;
             if is_faulty {
-                self.go_wrong();
+                self.inject_fault();
             } else {
-                self.workers.values_mut().for_each(|worker| worker.is_cut = false);
+                self.workers.values_mut().for_each(|worker| worker.is_partitioned = false);
             }
             if step < FAULTY_STEPS && step % 5 == 0 {
                 self.submit();
             }
             self.deliver();
-            self.run_workers();
+            self.advance_tasks();
             self.commit(is_faulty);
             let commands = self.queue.tick(self.now);
-            self.follow(commands);
+            self.apply_commands(commands);
             if step % 5 == 0 {
-                self.tend(is_faulty);
+                self.renew_and_poll(is_faulty);
             }
             if step % 50 == 0 {
-                list_workers(&mut self.queue);
+                upsert_workers(&mut self.queue);
             }
-            self.check()?;
+            self.check_single_runs()?;
         }
-        self.check_healed()?;
+        self.check_final_states()?;
         Ok(self.completions.len())
     }
 
-    fn go_wrong(&mut self) {
+    fn inject_fault(&mut self) {
         match self.random.random_range(0..120) {
             0 => self.change_owner(),
             1 | 2 => {
                 let index = self.random.random_range(0..WORKERS);
-                let worker = self.workers.get_mut(&*format!("worker-{index}")).expect("it exists");
-                worker.is_cut = !worker.is_cut;
+                let worker =
+                    self.workers.get_mut(&*format!("worker-{index}")).expect("the worker exists");
+                worker.is_partitioned = !worker.is_partitioned;
             }
             3 => {
-                // The worker restarts and knows nothing any more.
+                // The worker restarts and loses its tasks.
                 let index = self.random.random_range(0..WORKERS);
-                let worker = self.workers.get_mut(&*format!("worker-{index}")).expect("it exists");
+                let worker =
+                    self.workers.get_mut(&*format!("worker-{index}")).expect("the worker exists");
                 worker.tasks.clear();
             }
             4 => {
-                let known: Vec<JobId> = self.accepted.clone();
-                if !known.is_empty() {
-                    let id = &known[self.random.random_range(0..known.len())];
+                let accepted: Vec<JobId> = self.accepted.clone();
+                if !accepted.is_empty() {
+                    let id = &accepted[self.random.random_range(0..accepted.len())];
                     let (_, commands) = self.queue.cancel(id);
-                    self.follow(commands);
+                    self.apply_commands(commands);
                 }
             }
             _ => {}
         }
     }
 
-    /// The owner dies; what was under way may be written or not, and its starts may come late.
+    /// Replaces the owner. Any prefix of its pending writes becomes durable, and its start messages
+    /// may still arrive later.
     fn change_owner(&mut self) {
-        let written = self.random.random_range(0..=self.unwritten.len());
-        for (_, job) in self.unwritten.drain(..written) {
+        let written = self.random.random_range(0..=self.pending_writes.len());
+        for (_, job) in self.pending_writes.drain(..written) {
             self.durable.insert(job.id.clone(), job);
         }
-        self.unwritten.clear();
-        self.owner += 1;
+        self.pending_writes.clear();
+        self.owner_epoch += 1;
         self.queue = new_queue();
         for job in self.durable.values() {
             let mut job = job.clone();
-            if self.switches.forgets_claims && matches!(job.state, JobState::Claimed { .. }) {
+            if self.mutations.requeues_claimed && matches!(job.state, JobState::Claimed { .. }) {
                 job.state = JobState::Queued;
             }
             self.queue.recover(self.now, job);
@@ -211,105 +215,118 @@
             attempts: 0,
             state: JobState::Queued,
         };
-        if self.switches.accepts_early {
+        if self.mutations.accepts_early {
             self.accepted.push(job.id.clone());
         }
         let commands = self.queue.submit(job);
-        self.follow(commands);
+        self.apply_commands(commands);
     }
 
-    fn follow(&mut self, commands: Vec<Command>) {
+    fn apply_commands(&mut self, commands: Vec<Command>) {
         for command in commands {
             match command {
                 Command::Write(job) => {
-                    self.writes += 1;
-                    self.queue.on_write_queued(self.writes, job.id.clone());
-                    if self.switches.skips_claim
+                    self.last_write += 1;
+                    self.queue.on_write_queued(self.last_write, job.id.clone());
+                    if self.mutations.skips_claim
                         && let JobState::Claimed { worker } = &job.state
                     {
-                        let task = start_of(&job);
-                        let message = Message::Start { owner: 0, worker: worker.clone(), task };
-                        self.later.push((self.now, message));
+                        let task = start_task(&job);
+                        let message =
+                            Message::Start { owner_epoch: 0, worker: worker.clone(), task };
+                        self.in_transit.push((self.now, message));
                     }
-                    self.unwritten.push((self.writes, job));
+                    self.pending_writes.push((self.last_write, job));
                 }
                 Command::Accepted(id) => self.accepted.push(id),
                 Command::Start { worker, task } => self.send_start(worker, task),
-                Command::Send { worker, command } => self.tell(&worker, &command),
+                Command::Send { worker, command } => self.send_command(&worker, &command),
                 Command::Forget(_) => {}
             }
         }
     }
 
     fn send_start(&mut self, worker: WorkerId, task: StartTask) {
-        let delay = if self.random.random_bool(0.2) { self.random.random_range(1..60) } else { 1 };
-        let owner = self.owner;
-        let at = self.now + STEP * delay;
-        if delay > 10 {
+        let delay_steps =
+            if self.random.random_bool(0.2) { self.random.random_range(1..60) } else { 1 };
+        let owner_epoch = self.owner_epoch;
+        let at = self.now + STEP * delay_steps;
+        if delay_steps > 10 {
             let (job, attempt) = (task.job.clone(), task.attempt);
-            let answer = Message::Answer { owner, job, attempt, end: StartOutcome::Unanswered };
-            self.later.push((self.now + STEP * 10, answer));
+            let answer =
+                Message::Answer { owner_epoch, job, attempt, outcome: StartOutcome::Unanswered };
+            self.in_transit.push((self.now + STEP * 10, answer));
         }
-        self.later.push((at, Message::Start { owner, worker, task }));
+        self.in_transit.push((at, Message::Start { owner_epoch, worker, task }));
     }
 
     fn deliver(&mut self) {
         let now = self.now;
         let (due, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.later).into_iter().partition(|(at, _)| *at <= now);
-        self.later = rest;
+            std::mem::take(&mut self.in_transit).into_iter().partition(|(at, _)| *at <= now);
+        self.in_transit = rest;
         for (_, message) in due {
             match message {
-                Message::Start { owner, worker, task } => self.on_start(owner, &worker, &task),
-                Message::Answer { owner, job, attempt, end } if owner == self.owner => {
-                    let commands = self.queue.on_start_outcome(self.now, &job, attempt, end);
-                    self.follow(commands);
+                Message::Start { owner_epoch, worker, task } => {
+                    self.on_start(owner_epoch, &worker, &task);
                 }
-                Message::Commit { owner, number } if owner == self.owner => {
-                    let commands = self.queue.on_committed(self.now, number);
-                    self.follow(commands);
+                Message::Answer { owner_epoch, job, attempt, outcome }
+                    if owner_epoch == self.owner_epoch =>
+                {
+                    let commands = self.queue.on_start_outcome(self.now, &job, attempt, outcome);
+                    self.apply_commands(commands);
+                }
+                Message::Commit { owner_epoch, write_number }
+                    if owner_epoch == self.owner_epoch =>
+                {
+                    let commands = self.queue.on_committed(self.now, write_number);
+                    self.apply_commands(commands);
                 }
                 Message::Answer { .. } | Message::Commit { .. } => {}
             }
         }
     }
 
-    fn on_start(&mut self, owner: u64, id: &WorkerId, task: &StartTask) {
-        let length = self.random.random_range(5..40);
-        let is_failing = self.random.random_bool(0.05);
+    fn on_start(&mut self, owner_epoch: u64, id: &WorkerId, task: &StartTask) {
+        let duration_steps = self.random.random_range(5..40);
+        let will_fail = self.random.random_bool(0.05);
         let is_answer_lost = self.random.random_bool(0.2);
-        let worker = self.workers.get_mut(id).expect("it exists");
-        let answer =
-            |end| Message::Answer { owner, job: task.job.clone(), attempt: task.attempt, end };
-        if worker.is_cut {
+        let worker = self.workers.get_mut(id).expect("the worker exists");
+        let answer = |outcome| Message::Answer {
+            owner_epoch,
+            job: task.job.clone(),
+            attempt: task.attempt,
+            outcome,
+        };
+        if worker.is_partitioned {
             let message = answer(StartOutcome::NotSent);
-            self.later.push((self.now + STEP, message));
+            self.in_transit.push((self.now + STEP, message));
             return;
         }
-        let is_known =
-            worker.tasks.get(&task.job).is_some_and(|known| known.attempt >= task.attempt);
-        if !is_known {
-            *self.runs.entry(task.job.clone()).or_default() += 1;
+        let is_duplicate =
+            worker.tasks.get(&task.job).is_some_and(|existing| existing.attempt >= task.attempt);
+        if !is_duplicate {
+            *self.run_counts.entry(task.job.clone()).or_default() += 1;
             let started = Task {
                 attempt: task.attempt,
                 state: TaskState::Running,
-                ends_at: self.now + STEP * length,
+                ends_at: self.now + STEP * duration_steps,
                 lease_until: self.now + LEASE,
-                is_failing,
+                will_fail,
             };
             worker.tasks.insert(task.job.clone(), started);
         }
-        let report = report(&task.job, &worker.tasks[&task.job]);
-        let end =
+        let report = task_report(&task.job, &worker.tasks[&task.job]);
+        let outcome =
             if is_answer_lost { StartOutcome::Unanswered } else { StartOutcome::Reported(report) };
-        let message = answer(end);
-        self.later.push((self.now + STEP, message));
+        let message = answer(outcome);
+        self.in_transit.push((self.now + STEP, message));
     }
 
-    fn tell(&mut self, id: &WorkerId, command: &jackdawpier_kernel::task::TaskCommand) {
+    fn send_command(&mut self, id: &WorkerId, command: &jackdawpier_kernel::task::TaskCommand) {
         let now = self.now;
-        let worker = self.workers.get_mut(id).expect("it exists");
-        if worker.is_cut {
+        let worker = self.workers.get_mut(id).expect("the worker exists");
+        if worker.is_partitioned {
             return;
         }
         let Some(task) = worker.tasks.get_mut(&command.job) else { return };
@@ -322,12 +339,12 @@
             TaskAction::Checkpoint | TaskAction::Throttle => {}
         }
         self.queue.on_renewed(now, &command.job);
-        let report = report(&command.job, &self.workers[id].tasks[&command.job]);
+        let report = task_report(&command.job, &self.workers[id].tasks[&command.job]);
         let commands = self.queue.on_report(now, &report);
-        self.follow(commands);
+        self.apply_commands(commands);
     }
 
-    fn run_workers(&mut self) {
+    fn advance_tasks(&mut self) {
         for worker in self.workers.values_mut() {
             for (job, task) in &mut worker.tasks {
                 if task.state != TaskState::Running {
@@ -336,8 +353,8 @@
                 if self.now >= task.lease_until {
                     task.state = TaskState::Stopped;
                 } else if self.now >= task.ends_at {
-                    task.state = if task.is_failing { TaskState::Failed } else { TaskState::Done };
-                    if !task.is_failing {
+                    task.state = if task.will_fail { TaskState::Failed } else { TaskState::Done };
+                    if !task.will_fail {
                         *self.completions.entry(job.clone()).or_default() += 1;
                     }
                 }
@@ -346,36 +363,36 @@
     }
 
     fn commit(&mut self, is_faulty: bool) {
-        if self.unwritten.is_empty() || is_faulty && self.random.random_bool(0.3) {
+        if self.pending_writes.is_empty() || is_faulty && self.random.random_bool(0.3) {
             return;
         }
-        let number = self.unwritten.last().expect("it is not empty").0;
-        for (_, job) in self.unwritten.drain(..) {
+        let write_number = self.pending_writes.last().expect("there are pending writes").0;
+        for (_, job) in self.pending_writes.drain(..) {
             self.durable.insert(job.id.clone(), job);
         }
-        let message = Message::Commit { owner: self.owner, number };
-        self.later.push((self.now + STEP, message));
+        let message = Message::Commit { owner_epoch: self.owner_epoch, write_number };
+        self.in_transit.push((self.now + STEP, message));
     }
 
-    fn tend(&mut self, is_faulty: bool) {
+    fn renew_and_poll(&mut self, is_faulty: bool) {
         let renewals = self.queue.renewals(self.now);
-        self.follow(renewals);
+        self.apply_commands(renewals);
         let busy: Vec<WorkerId> = self.queue.busy_workers().cloned().collect();
         for id in busy {
-            let is_lost = is_faulty && self.random.random_bool(0.2);
+            let is_reply_lost = is_faulty && self.random.random_bool(0.2);
             let worker = &self.workers[&id];
-            if worker.is_cut || is_lost {
+            if worker.is_partitioned || is_reply_lost {
                 continue;
             }
             let reports: Vec<TaskReport> =
-                worker.tasks.iter().map(|(job, task)| report(job, task)).collect();
+                worker.tasks.iter().map(|(job, task)| task_report(job, task)).collect();
             let commands = self.queue.on_reports(self.now, &id, &reports);
-            self.follow(commands);
+            self.apply_commands(commands);
         }
     }
 
-    fn check(&self) -> Result<(), String> {
-        for (job, count) in &self.runs {
+    fn check_single_runs(&self) -> Result<(), String> {
+        for (job, count) in &self.run_counts {
             let is_idempotent = self.durable.get(job).is_some_and(|job| job.is_idempotent);
             if *count > 1 && !is_idempotent {
                 return Err(format!("{job} ran twice"));
@@ -384,29 +401,29 @@
         Ok(())
     }
 
-    /// Nothing accepted is lost: it ran, or an operator sees it, or its caller gave it up.
-    fn check_healed(&self) -> Result<(), String> {
+    /// Checks that every accepted job completed, was parked for an operator or was cancelled.
+    fn check_final_states(&self) -> Result<(), String> {
         for id in &self.accepted {
             let Some(job) = self.queue.job(id) else { return Err(format!("{id} is lost")) };
             if !job.state.is_final() {
-                return Err(format!("{id} still is {:?}", job.state));
+                return Err(format!("{id} is not final: {:?}", job.state));
             }
             let has_run = self.completions.contains_key(id);
             if job.state == JobState::Done && !has_run {
-                return Err(format!("{id} counts as done and never ran"));
+                return Err(format!("{id} is done but never ran"));
             }
-            // Chance may fail a job on three workers, which is what parks one that never runs.
+            // Random failures on three workers park a job as one that never runs.
             let is_parked = matches!(&job.state,
                 JobState::Parked { reason } if *reason != ParkReason::NeverRuns);
             if job.is_idempotent && is_parked {
-                return Err(format!("{id} was parked though it may be repeated"));
+                return Err(format!("{id} was parked although it is idempotent"));
             }
         }
         Ok(())
     }
 }
 
-fn start_of(job: &Job) -> StartTask {
+fn start_task(job: &Job) -> StartTask {
     StartTask {
         job: job.id.clone(),
         attempt: job.attempts,
@@ -418,7 +435,7 @@
     }
 }
 
-fn report(job: &JobId, task: &Task) -> TaskReport {
+fn task_report(job: &JobId, task: &Task) -> TaskReport {
     TaskReport {
         job: job.clone(),
         attempt: task.attempt,
@@ -428,42 +445,43 @@
     }
 }
 
-fn seeds() -> u64 {
+fn seed_count() -> u64 {
     std::env::var("HISTORIES").ok().and_then(|text| text.parse().ok()).unwrap_or(SEEDS)
 }
 
-fn first_violation(switches: Switches) -> Option<String> {
-    (0..seeds()).find_map(|seed| {
-        World::new(seed, switches).run().err().map(|text| format!("seed {seed}: {text}"))
+fn first_violation(mutations: Mutations) -> Option<String> {
+    (0..seed_count()).find_map(|seed| {
+        World::new(seed, mutations).run().err().map(|text| format!("seed {seed}: {text}"))
     })
 }
 
 #[test]
-fn promises_hold() {
-    assert_eq!(first_violation(Switches::default()), None);
+fn invariants_hold() {
+    assert_eq!(first_violation(Mutations::default()), None);
 }
 
 #[test]
 fn work_done() {
-    let done: usize =
-        (0..5).map(|seed| World::new(seed, Switches::default()).run().expect("it holds")).sum();
-    assert!(done > 300, "{done} jobs ran in five histories");
+    let done: usize = (0..5)
+        .map(|seed| World::new(seed, Mutations::default()).run().expect("the invariants hold"))
+        .sum();
+    assert!(done > 300, "{done} jobs completed in five histories");
 }
 
 #[test]
 fn claim_off() {
-    let violation = first_violation(Switches { skips_claim: true, ..Switches::default() });
+    let violation = first_violation(Mutations { skips_claim: true, ..Mutations::default() });
     assert!(violation.as_ref().is_some_and(|text| text.contains("ran twice")), "{violation:?}");
 }
 
 #[test]
 fn recovery_off() {
-    let violation = first_violation(Switches { forgets_claims: true, ..Switches::default() });
+    let violation = first_violation(Mutations { requeues_claimed: true, ..Mutations::default() });
     assert!(violation.as_ref().is_some_and(|text| text.contains("ran twice")), "{violation:?}");
 }
 
 #[test]
 fn durability_off() {
-    let violation = first_violation(Switches { accepts_early: true, ..Switches::default() });
+    let violation = first_violation(Mutations { accepts_early: true, ..Mutations::default() });
     assert!(violation.as_ref().is_some_and(|text| text.contains("is lost")), "{violation:?}");
 }
--- a/crates/jackdawpier_proofs/tests/untrusted.rs
+++ b/crates/jackdawpier_proofs/tests/untrusted.rs
@@ -1,4 +1,4 @@
-//! Whatever strangers may send: no panic, bounded memory, nothing adopted.
+//! Checks that untrusted input causes no panic, uses bounded memory and is never adopted.
 
 use std::time::Duration;
 
@@ -23,36 +23,36 @@
   - { name: render, service: widgets, kind: quick, finish_within_ms: 300, capacity_instances: 2 }
 ";
 
-/// A valid text with some of its bytes replaced, so that parsers get past the first line.
-fn mangled(text: &str, changes: &[(u16, u8)]) -> String {
+/// Replaces up to four bytes of a valid text, so that parsers get past the first line.
+fn replace_bytes(text: &str, replacements: &[(u16, u8)]) -> String {
     let mut bytes = text.as_bytes().to_vec();
-    for (at, byte) in changes.iter().take(4) {
-        let at = usize::from(*at) % bytes.len();
-        bytes[at] = *byte;
+    for (index, byte) in replacements.iter().take(4) {
+        let index = usize::from(*index) % bytes.len();
+        bytes[index] = *byte;
     }
     String::from_utf8_lossy(&bytes).into_owned()
 }
 
-fn declaration_any(changes: Vec<(u16, u8)>, text: String) -> bool {
+fn arbitrary_declaration(replacements: Vec<(u16, u8)>, text: String) -> bool {
     let _ = load_declaration("x", &text);
-    match load_declaration("x", &mangled(DECLARATION, &changes)) {
+    match load_declaration("x", &replace_bytes(DECLARATION, &replacements)) {
         Ok(declaration) => declaration.classes.len() == 1,
         Err(findings) => !findings.is_empty(),
     }
 }
 
-fn settings_any(text: String) -> bool {
+fn arbitrary_settings(text: String) -> bool {
     load_settings("x", &text).is_err()
 }
 
-fn traceparent_any(text: String, changes: Vec<(u16, u8)>) -> bool {
+fn arbitrary_traceparent(text: String, replacements: Vec<(u16, u8)>) -> bool {
     let valid = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01";
     let _ = TraceContext::parse(&text);
-    let text = mangled(valid, &changes);
+    let text = replace_bytes(valid, &replacements);
     TraceContext::parse(&text).is_none_or(|context| context.to_string() == text.trim())
 }
 
-fn records_any(key: String, value: String) -> bool {
+fn arbitrary_records(key: String, value: String) -> bool {
     let record = |prefix: &str| Record {
         key: format!("{prefix}{key}"),
         value: value.clone(),
@@ -76,22 +76,22 @@
 
 #[test]
 fn declarations() {
-    check(declaration_any as fn(Vec<(u16, u8)>, String) -> bool);
+    check(arbitrary_declaration as fn(Vec<(u16, u8)>, String) -> bool);
 }
 
 #[test]
 fn settings() {
-    check(settings_any as fn(String) -> bool);
+    check(arbitrary_settings as fn(String) -> bool);
 }
 
 #[test]
 fn traceparent() {
-    check(traceparent_any as fn(String, Vec<(u16, u8)>) -> bool);
+    check(arbitrary_traceparent as fn(String, Vec<(u16, u8)>) -> bool);
 }
 
 #[test]
 fn store_records() {
-    check(records_any as fn(String, String) -> bool);
+    check(arbitrary_records as fn(String, String) -> bool);
 }
 
 #[test]
@@ -104,8 +104,8 @@
 fn alias_bomb() {
     let mut text = String::from("a0: &a0 [x, x, x, x, x, x, x, x, x, x]\n");
     for level in 1..12 {
-        let before = format!("*a{}", level - 1);
-        let items = vec![before; 10].join(", ");
+        let previous_alias = format!("*a{}", level - 1);
+        let items = vec![previous_alias; 10].join(", ");
         text.push_str(
             &["a", &level.to_string(), ": &a", &level.to_string(), " [", &items, "]\n"].concat(),
         );
