--- a/crates/jackdawpier_proofs/tests/world/changes.rs
+++ b/crates/jackdawpier_proofs/tests/world/changes.rs
@@ -1,4 +1,4 @@
-//! Operators who change the configuration through some entry.
+//! Configuration changes that operators apply through an entry.
 
 use jackdawpier_coord::configuration::{Apply, ApplyOutcome, ApplyOutput, Document, WriterId};
 use jackdawpier_store::{Response, StoreResult};
@@ -13,7 +13,8 @@
 }
 
 impl World {
-    /// Some operator changes the configuration through some entry, now and then from an old base.
+    /// Applies a configuration change through a random entry, sometimes with an outdated base
+    /// revision.
     pub(super) fn change_configuration(&mut self) {
         let index = self.random.random_range(0..ENTRIES);
         if self.is_frozen(index) {
@@ -21,11 +22,11 @@
         }
         let id = self.new_id();
         let now = self.now();
-        let is_old_base = self.random.random_range(0..5) == 0;
+        let is_outdated_base = self.random.random_range(0..5) == 0;
         let Some(entry) = &mut self.entries[index] else { return };
         let _ = now;
         let known = entry.revision();
-        let base = if is_old_base { known.saturating_sub(1) } else { known };
+        let base = if is_outdated_base { known.saturating_sub(1) } else { known };
         let writer =
             WriterId { entry: entry.name.clone(), incarnation: entry.incarnation, sequence: id };
         let incarnation = entry.incarnation;
@@ -37,7 +38,7 @@
 
     pub(super) fn on_apply_result(&mut self, id: u64, result: StoreResult) {
         let Some(mut change) = self.changes.remove(&id) else { return };
-        let result = self.without_base(&change, result);
+        let result = self.with_expected_base(&change, result);
         match change.apply.on_result(result) {
             ApplyOutput::Call(request) => {
                 let index = change.entry;
@@ -62,17 +63,19 @@
         }
     }
 
-    /// With the switch, a reading shows the base that the operator named, whatever stands there.
-    pub(super) fn without_base(&self, change: &Change, result: StoreResult) -> StoreResult {
-        if !self.switches.ignores_base {
+    /// With `ignores_base`, replaces the revision that a read returned by the base that the operator
+    /// named.
+    pub(super) fn with_expected_base(&self, change: &Change, result: StoreResult) -> StoreResult {
+        if !self.mutations.ignores_base {
             return result;
         }
         match result {
             Ok(Response::Record { record: Some(mut record), store_revision }) => {
                 let mut document: Document =
-                    serde_json::from_str(&record.value).expect("documents are written whole");
+                    serde_json::from_str(&record.value).expect("stored documents are valid");
                 document.revision = change.apply.document().revision - 1;
-                record.value = serde_json::to_string(&document).expect("documents are plain data");
+                record.value =
+                    serde_json::to_string(&document).expect("documents can be serialised");
                 Ok(Response::Record { record: Some(record), store_revision })
             }
             other => other,
--- a/crates/jackdawpier_proofs/tests/world/entry.rs
+++ b/crates/jackdawpier_proofs/tests/world/entry.rs
@@ -1,4 +1,4 @@
-//! One entry of the world: the pure decisions with their inputs and outputs.
+//! One simulated entry: the decision logic of a daemon with its inputs and outputs.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -20,7 +20,7 @@
 };
 use jackdawpier_store::{Request, Response, StoreResult};
 
-use super::{DEPLOYMENT, SHARD, Switches};
+use super::{DEPLOYMENT, Mutations, SHARD};
 
 const LEASE: Duration = Duration::from_secs(3);
 const ISOLATION_LIMIT: Duration = Duration::from_secs(2);
@@ -29,7 +29,7 @@
 const VIEW_INTERVAL: Duration = Duration::from_millis(300);
 const FINGERPRINT: u64 = 7;
 
-/// What a call to the store is for.
+/// Purpose of a call to the store.
 #[derive(Debug, Clone)]
 pub(crate) enum Purpose {
     Membership,
@@ -48,14 +48,14 @@
 }
 
 impl Owned {
-    fn write_end(&mut self, key: &RequestKey, state: &KeyState) {
+    fn write_state(&mut self, key: &RequestKey, state: &KeyState) {
         if let Some(number) = self.cell.put(Arc::clone(key), state) {
             self.dedupe.on_end_write_queued(number, key);
         }
     }
 }
 
-/// The decisions of one daemon.
+/// The decision logic of one daemon.
 pub(crate) struct Entry {
     pub(crate) name: EntryId,
     pub(crate) incarnation: u64,
@@ -64,19 +64,19 @@
     pub(crate) clock_ahead: Duration,
     pub(crate) calls: Vec<(Purpose, Request)>,
     pub(crate) sends: Vec<(RequestKey, u64)>,
-    pub(crate) told: Vec<(RequestKey, u64, Outcome)>,
-    /// Questions about keys in doubt: (entry that is asked, key).
-    pub(crate) asks: Vec<(EntryId, RequestKey)>,
-    /// Ends of attempts in flight: (step, key, attempt, outcome).
-    pub(crate) ends: Vec<(u64, RequestKey, u64, Outcome)>,
+    pub(crate) reported: Vec<(RequestKey, u64, Outcome)>,
+    /// Queries about keys with an unresolved intent: (entry that wrote the intent, key).
+    pub(crate) writer_queries: Vec<(EntryId, RequestKey)>,
+    /// Outcomes of attempts in flight: (step, key, attempt, outcome).
+    pub(crate) pending_outcomes: Vec<(u64, RequestKey, u64, Outcome)>,
     membership: Membership,
     view: View,
     ownership: Ownership,
     owned: Option<Owned>,
-    former: LostShardKeys,
+    lost_keys: LostShardKeys,
     is_view_loaded: bool,
     is_reading_view: bool,
-    read_view_at: Now,
+    next_view_read_at: Now,
     generation: u64,
     step: u64,
 }
@@ -99,17 +99,17 @@
             clock_ahead: Duration::ZERO,
             calls: Vec::new(),
             sends: Vec::new(),
-            told: Vec::new(),
-            asks: Vec::new(),
-            ends: Vec::new(),
+            reported: Vec::new(),
+            writer_queries: Vec::new(),
+            pending_outcomes: Vec::new(),
             membership: Membership::new(own, LEASE),
             view: View::default(),
             ownership: Ownership::new(name.clone(), incarnation),
             owned: None,
-            former: LostShardKeys::new(RETENTION),
+            lost_keys: LostShardKeys::new(RETENTION),
             is_view_loaded: false,
             is_reading_view: false,
-            read_view_at: Now::ZERO,
+            next_view_read_at: Now::ZERO,
             generation: 0,
             name,
             incarnation,
@@ -127,24 +127,24 @@
 
     pub(crate) fn is_ready(&mut self, now: Now) -> bool {
         let now = now + self.clock_ahead;
-        let standing = self.membership.status(&self.view);
-        self.configuration.is_ready(now, &standing)
+        let status = self.membership.status(&self.view);
+        self.configuration.is_ready(now, &status)
     }
 
     pub(crate) fn on_heartbeat(
         &mut self,
         now: Now,
-        switches: Switches,
+        mutations: Mutations,
         report: PeerReport,
         documents: Vec<Document>,
     ) {
         for document in documents {
-            self.adopt(switches, document);
+            self.adopt(mutations, document);
         }
         self.configuration.on_peer_report(now + self.clock_ahead, report);
     }
 
-    /// What a heartbeat says, with the documents in force.
+    /// Returns the report of a heartbeat and the documents in force.
     pub(crate) fn heartbeat(&mut self, now: Now) -> (PeerReport, Vec<Document>) {
         let is_ready = self.is_ready(now);
         let report = PeerReport {
@@ -156,7 +156,7 @@
         (report, self.configuration.documents().cloned().collect())
     }
 
-    /// The revision that the tool would show as in force everywhere, asked at this entry.
+    /// Returns the revision that this entry would report as in force everywhere, or 0.
     pub(crate) fn reported_in_force(&mut self, now: Now) -> u64 {
         let revision = self.revision();
         let is_ready = self.is_ready(now);
@@ -171,33 +171,39 @@
         }
     }
 
-    fn adopt(&mut self, switches: Switches, document: Document) {
-        if switches.adopts_older && document.revision < self.revision() {
+    fn adopt(&mut self, mutations: Mutations, document: Document) {
+        if mutations.adopts_older_revisions && document.revision < self.revision() {
             self.configuration = Configuration::new(ISOLATION_LIMIT);
         }
         self.configuration.adopt_if_newer(document);
     }
 
-    /// A caller's keyed request.
-    pub(crate) fn submit(&mut self, now: Now, switches: Switches, key: &RequestKey, attempt: u64) {
+    /// Handles a caller's request with an idempotency key.
+    pub(crate) fn submit(
+        &mut self,
+        now: Now,
+        mutations: Mutations,
+        key: &RequestKey,
+        attempt: u64,
+    ) {
         let now = now + self.clock_ahead;
         let Some(owned) = &mut self.owned else { return };
         match owned.dedupe.begin(key, FINGERPRINT, attempt) {
             Decision::WriteIntent { state } => {
                 let Some(number) = owned.cell.put(Arc::clone(key), &state) else { return };
                 owned.keys.insert(attempt, Arc::clone(key));
-                if switches.skips_intent {
+                if mutations.skips_intent {
                     self.sends.push((Arc::clone(key), attempt));
                 } else {
                     owned.dedupe.on_intent_write_queued(number, attempt, key);
                 }
                 let outputs = owned.cell.tick(now);
-                self.follow_cell(now, switches, outputs);
+                self.apply_cell_outputs(now, mutations, outputs);
             }
-            Decision::Replay(outcome) => self.told.push((Arc::clone(key), attempt, outcome)),
+            Decision::Replay(outcome) => self.reported.push((Arc::clone(key), attempt, outcome)),
             Decision::QueryWriter(entry) => {
                 owned.keys.insert(attempt, Arc::clone(key));
-                self.asks.push((entry, Arc::clone(key)));
+                self.writer_queries.push((entry, Arc::clone(key)));
             }
             Decision::Wait => {
                 owned.keys.insert(attempt, Arc::clone(key));
@@ -206,49 +212,51 @@
         }
     }
 
-    /// What this entry remembers of a key that it owned before.
-    pub(crate) fn recall(&self, switches: Switches, key: &RequestKey) -> Option<KeyState> {
-        if switches.forgets_ends { None } else { self.former.get(key) }
+    /// Returns the state of a key that this entry owned before it lost the shard.
+    pub(crate) fn writer_reply(&self, mutations: Mutations, key: &RequestKey) -> Option<KeyState> {
+        if mutations.forgets_outcomes { None } else { self.lost_keys.get(key) }
     }
 
-    /// Takes what the entry that was asked said.
-    pub(crate) fn on_recalled(
+    /// Handles the reply of the entry that wrote the intent.
+    pub(crate) fn on_writer_reply(
         &mut self,
         now: Now,
-        switches: Switches,
+        mutations: Mutations,
         key: &RequestKey,
-        word: Option<KeyState>,
+        reply: Option<KeyState>,
     ) {
         let now = now + self.clock_ahead;
         let Some(owned) = &mut self.owned else { return };
-        let (outcome, waiters) = match owned.dedupe.resolve(key, word) {
+        let (outcome, waiters) = match owned.dedupe.resolve(key, reply) {
             Resolution::WriteEnd(state) => {
-                owned.write_end(key, &state);
-                if let (true, KeyState::Ended { outcome, .. }) = (switches.tells_early, &state) {
-                    self.told.push((Arc::clone(key), 0, outcome.clone()));
+                owned.write_state(key, &state);
+                if let (true, KeyState::Ended { outcome, .. }) =
+                    (mutations.replies_before_durable, &state)
+                {
+                    self.reported.push((Arc::clone(key), 0, outcome.clone()));
                 }
                 (not_run(), Vec::new())
             }
             Resolution::Release(waiters) => {
-                owned.write_end(key, &KeyState::Released);
+                owned.write_state(key, &KeyState::Released);
                 (not_run(), waiters)
             }
             Resolution::Unknown(waiters) => (Outcome::Unknown { detail: String::new() }, waiters),
         };
         for waiter in waiters {
-            self.told.push((Arc::clone(key), waiter, outcome.clone()));
+            self.reported.push((Arc::clone(key), waiter, outcome.clone()));
         }
         let outputs = owned.cell.tick(now);
-        self.follow_cell(now, switches, outputs);
+        self.apply_cell_outputs(now, mutations, outputs);
     }
 
-    /// What a repeat of `key` would make this owner do.
-    pub(crate) fn repeat(&mut self, key: &RequestKey) -> Option<Decision> {
+    /// Returns the owner's decision on a repeated request with `key`.
+    pub(crate) fn begin_repeat(&mut self, key: &RequestKey) -> Option<Decision> {
         let owned = self.owned.as_mut().filter(|owned| owned.cell.is_open())?;
         Some(owned.dedupe.begin(key, FINGERPRINT, 0))
     }
 
-    pub(crate) fn tick(&mut self, now: Now, switches: Switches) {
+    pub(crate) fn tick(&mut self, now: Now, mutations: Mutations) {
         let now = now + self.clock_ahead;
         self.step += 1;
         let revisions = self.configuration.revisions();
@@ -257,17 +265,17 @@
         if let Some(request) = self.membership.tick(now) {
             self.calls.push((Purpose::Membership, request));
         }
-        if !self.is_reading_view && now >= self.read_view_at {
+        if !self.is_reading_view && now >= self.next_view_read_at {
             self.is_reading_view = true;
             let prefix = keys::COORDINATION.to_owned();
             let request = Request::Range { prefix, after_key: String::new(), limit: 100 };
             self.calls.push((Purpose::View, request));
         }
         self.tick_ownership(now);
-        self.end_attempts(now, switches);
+        self.finish_attempts(now, mutations);
         if let Some(owned) = &mut self.owned {
             let outputs = owned.cell.tick(now);
-            self.follow_cell(now, switches, outputs);
+            self.apply_cell_outputs(now, mutations, outputs);
         }
     }
 
@@ -281,10 +289,10 @@
         }
         self.ownership.set_shards([SHARD.to_owned()].into());
         let outputs = self.ownership.tick(now, self.membership.lease(now), &self.view);
-        self.follow_ownership(now, outputs);
+        self.apply_ownership_outputs(now, outputs);
     }
 
-    fn follow_ownership(&mut self, now: Now, outputs: Vec<OwnershipOutput>) {
+    fn apply_ownership_outputs(&mut self, now: Now, outputs: Vec<OwnershipOutput>) {
         for output in outputs {
             match output {
                 OwnershipOutput::Call { shard, request } => {
@@ -310,19 +318,24 @@
             dedupe: Dedupe::new(self.name.clone(), RETENTION),
             keys: HashMap::new(),
         });
-        self.follow_cell(now, Switches::default(), outputs);
+        self.apply_cell_outputs(now, Mutations::default(), outputs);
     }
 
     fn drop_owned(&mut self, now: Now) {
         let Some(owned) = self.owned.take() else { return };
-        for attempt in owned.dedupe.release_ownership(now, &mut self.former) {
+        for attempt in owned.dedupe.release_ownership(now, &mut self.lost_keys) {
             if let Some(key) = owned.keys.get(&attempt) {
-                self.told.push((Arc::clone(key), attempt, not_run()));
+                self.reported.push((Arc::clone(key), attempt, not_run()));
             }
         }
     }
 
-    fn follow_cell(&mut self, now: Now, switches: Switches, outputs: Vec<CellOutput<KeyState>>) {
+    fn apply_cell_outputs(
+        &mut self,
+        now: Now,
+        mutations: Mutations,
+        outputs: Vec<CellOutput<KeyState>>,
+    ) {
         for output in outputs {
             let Some(owned) = &mut self.owned else { return };
             match output {
@@ -330,12 +343,12 @@
                     self.calls.push((Purpose::Cell(owned.generation), request));
                 }
                 CellOutput::Opened { states, .. } => {
-                    let is_forgotten = |state: &KeyState| {
-                        switches.forgets_intents && matches!(state, KeyState::Intent { .. })
+                    let is_dropped_intent = |state: &KeyState| {
+                        mutations.forgets_intents && matches!(state, KeyState::Intent { .. })
                     };
-                    let states = states.into_iter().filter(|(_, state)| !is_forgotten(state));
-                    for (key, state) in owned.dedupe.recover(now, states, &mut self.former) {
-                        owned.write_end(&key, &state);
+                    let states = states.into_iter().filter(|(_, state)| !is_dropped_intent(state));
+                    for (key, state) in owned.dedupe.recover(now, states, &mut self.lost_keys) {
+                        owned.write_state(&key, &state);
                     }
                 }
                 CellOutput::Committed { up_to } => {
@@ -343,7 +356,7 @@
                     for (outcome, waiters) in committed.resolved {
                         for waiter in waiters {
                             let key = Arc::clone(&owned.keys[&waiter]);
-                            self.told.push((key, waiter, outcome.clone()));
+                            self.reported.push((key, waiter, outcome.clone()));
                         }
                     }
                     for attempt in committed.sendable {
@@ -356,36 +369,37 @@
         }
     }
 
-    fn end_attempts(&mut self, now: Now, switches: Switches) {
+    fn finish_attempts(&mut self, now: Now, mutations: Mutations) {
         let step = self.step;
-        let (due, rest): (Vec<_>, Vec<_>) =
-            std::mem::take(&mut self.ends).into_iter().partition(|(at, ..)| *at <= step);
-        self.ends = rest;
+        let (due, rest): (Vec<_>, Vec<_>) = std::mem::take(&mut self.pending_outcomes)
+            .into_iter()
+            .partition(|(at, ..)| *at <= step);
+        self.pending_outcomes = rest;
         for (_, key, attempt, outcome) in due {
-            let ended = self
+            let resolved = self
                 .owned
                 .as_mut()
                 .and_then(|owned| owned.dedupe.record_outcome(now, &key, &outcome));
-            if let (Some(owned), Some((state, waiters))) = (&mut self.owned, ended) {
-                owned.write_end(&key, &state);
+            if let (Some(owned), Some((state, waiters))) = (&mut self.owned, resolved) {
+                owned.write_state(&key, &state);
                 for waiter in waiters {
                     if !matches!(outcome, Outcome::NotRun { .. }) {
-                        self.told.push((Arc::clone(&key), waiter, outcome.clone()));
+                        self.reported.push((Arc::clone(&key), waiter, outcome.clone()));
                     }
                 }
                 let outputs = owned.cell.tick(now);
-                self.follow_cell(now, switches, outputs);
+                self.apply_cell_outputs(now, mutations, outputs);
             } else {
-                self.former.record_outcome(now, &key, &outcome);
+                self.lost_keys.record_outcome(now, &key, &outcome);
             }
-            self.told.push((key, attempt, outcome));
+            self.reported.push((key, attempt, outcome));
         }
     }
 
     pub(crate) fn on_result(
         &mut self,
         now: Now,
-        switches: Switches,
+        mutations: Mutations,
         purpose: Purpose,
         result: StoreResult,
     ) {
@@ -399,22 +413,24 @@
             }
             Purpose::Ownership(shard) => {
                 let outputs = self.ownership.on_result(now, &shard, &result);
-                self.follow_ownership(now, outputs);
+                self.apply_ownership_outputs(now, outputs);
             }
             Purpose::Cell(generation) => {
-                if let Some(owned) = self.owned.as_mut().filter(|o| o.generation == generation) {
+                if let Some(owned) =
+                    self.owned.as_mut().filter(|owned| owned.generation == generation)
+                {
                     let outputs = owned.cell.on_result(now, result);
-                    self.follow_cell(now, switches, outputs);
+                    self.apply_cell_outputs(now, mutations, outputs);
                 }
             }
-            Purpose::View => self.on_view(now, switches, result),
+            Purpose::View => self.on_view(now, mutations, result),
             Purpose::Repair | Purpose::Apply(_) => {}
         }
     }
 
-    fn on_view(&mut self, now: Now, switches: Switches, result: StoreResult) {
+    fn on_view(&mut self, now: Now, mutations: Mutations, result: StoreResult) {
         self.is_reading_view = false;
-        self.read_view_at = now + VIEW_INTERVAL;
+        self.next_view_read_at = now + VIEW_INTERVAL;
         let Ok(Response::Records { records, store_revision, .. }) = result else { return };
         self.view.reset();
         self.view.store_revision = store_revision;
@@ -422,7 +438,7 @@
             self.view.apply_record(record);
             if record.key.starts_with(keys::CONFIGURATION) {
                 if let Ok(document) = serde_json::from_str(&record.value) {
-                    self.adopt(switches, document);
+                    self.adopt(mutations, document);
                 }
                 if let Some(repair) = self.configuration.rollback_repair(record) {
                     self.calls.push((Purpose::Repair, repair));
--- a/crates/jackdawpier_proofs/tests/world/network.rs
+++ b/crates/jackdawpier_proofs/tests/world/network.rs
@@ -1,4 +1,4 @@
-//! What carries calls, answers, heartbeats and requests, and loses or delays them.
+//! Delivers, delays and loses store calls, their answers, heartbeats and requests to executors.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,7 +10,7 @@
 use jackdawpier_store::{Condition, Request, Response, StoreError, StoreResult};
 use rand::RngExt;
 
-use super::{ENTRIES, FaultKind, Purpose, Switches, Violation, World};
+use super::{ENTRIES, FaultKind, Mutations, Purpose, Violation, World};
 
 pub(super) struct Call {
     pub(super) entry: usize,
@@ -29,17 +29,17 @@
     pub(super) result: StoreResult,
 }
 
-pub(super) struct Run {
+pub(super) struct ExecutorRun {
     pub(super) at: u64,
     pub(super) key: RequestKey,
     pub(super) attempt: u64,
 }
 
-/// Steps after which an unanswered call counts as ambiguous.
+/// Steps after which an unanswered call is reported as ambiguous.
 const TIMEOUT_STEPS: u64 = 20;
 
 impl World {
-    /// Sends a call of an entry to the store, with whatever goes wrong on the way.
+    /// Sends an entry's call to the store, subject to the active faults.
     pub(crate) fn call(&mut self, index: usize, purpose: Purpose, request: Request) {
         let Some(entry) = &self.entries[index] else { return };
         let incarnation = entry.incarnation;
@@ -58,24 +58,24 @@
         {
             answer_at = None;
         }
-        let is_cut = self.is_active(FaultKind::CutFromStore(index));
+        let is_partitioned = self.is_active(FaultKind::CutFromStore(index));
         if self.is_active(FaultKind::StoreDown) {
             let result = Err(StoreError::unavailable("down"));
-            self.deliver_later(self.step + 1, index, incarnation, purpose, result);
+            self.schedule_delivery(self.step + 1, index, incarnation, purpose, result);
             return;
         }
-        if answer_at.is_none() || is_cut {
+        if answer_at.is_none() || is_partitioned {
             let result = Err(StoreError::ambiguous("no answer"));
             let at = self.step + TIMEOUT_STEPS;
-            self.deliver_later(at, index, incarnation, purpose.clone(), result);
+            self.schedule_delivery(at, index, incarnation, purpose.clone(), result);
         }
-        if !is_cut {
+        if !is_partitioned {
             let entry = index;
             self.calls.push(Call { entry, incarnation, arrives_at, answer_at, request, purpose });
         }
     }
 
-    pub(super) fn deliver_later(
+    pub(super) fn schedule_delivery(
         &mut self,
         at: u64,
         entry: usize,
@@ -86,7 +86,7 @@
         self.deliveries.push(Delivery { at, entry, incarnation, purpose, result });
     }
 
-    pub(super) fn carry_calls(&mut self) {
+    pub(super) fn process_calls(&mut self) {
         let step = self.step;
         let (due, rest) = std::mem::take(&mut self.calls)
             .into_iter()
@@ -96,7 +96,7 @@
         for call in due {
             let result = self.execute(call.request);
             if let Some(at) = call.answer_at {
-                self.deliver_later(at, call.entry, call.incarnation, call.purpose, Ok(result));
+                self.schedule_delivery(at, call.entry, call.incarnation, call.purpose, Ok(result));
             }
         }
     }
@@ -105,75 +105,80 @@
         let now = self.now();
         if let Request::Put { key, condition, .. } = &mut request {
             let is_segment = keys::segment_number(key).is_some();
-            let Switches { ignores_fence, ignores_conditions, .. } = self.switches;
+            let Mutations { ignores_fence, ignores_conditions, .. } = self.mutations;
             if is_segment && ignores_fence || !is_segment && ignores_conditions {
                 *condition = Condition::Always;
             }
         }
         let is_coordination =
             matches!(&request, Request::Range { prefix, .. } if prefix == keys::COORDINATION);
-        match &mut self.stale {
-            // As old as the fault, with the leases of that time.
-            Some((at, stale)) if is_coordination => stale.call(*at, &request),
+        match &mut self.stale_store {
+            // The snapshot and its leases stay at the time when the fault began.
+            Some((at, stale_store)) if is_coordination => stale_store.call(*at, &request),
             _ => self.store.call(now, &request),
         }
     }
 
-    pub(super) fn carry_runs(&mut self) {
+    pub(super) fn process_runs(&mut self) {
         let step = self.step;
-        let due: Vec<Run> = {
-            let (due, rest) =
-                std::mem::take(&mut self.runs).into_iter().partition(|run: &Run| run.at <= step);
+        let due: Vec<ExecutorRun> = {
+            let (due, rest) = std::mem::take(&mut self.runs)
+                .into_iter()
+                .partition(|run: &ExecutorRun| run.at <= step);
             self.runs = rest;
             due
         };
         for run in due {
-            let count = self.ran.entry(Arc::clone(&run.key)).or_default();
+            let count = self.run_counts.entry(Arc::clone(&run.key)).or_default();
             *count += 1;
             if *count > 1 {
                 self.violations.push(Violation(format!("{} ran twice", run.key)));
             }
             self.ran_attempts.insert(run.attempt);
-            let told_not_run = self.told.iter().any(|(_, attempt, outcome)| {
+            let was_reported_not_run = self.reported.iter().any(|(_, attempt, outcome)| {
                 *attempt == run.attempt && matches!(outcome, Outcome::NotRun { .. })
             });
-            if told_not_run {
+            if was_reported_not_run {
                 self.violations.push(Violation(format!("{} ran after \"not run\"", run.key)));
             }
         }
     }
 
-    pub(super) fn deliver(&mut self) {
+    pub(super) fn deliver_results(&mut self) {
         let step = self.step;
         let (due, rest): (Vec<Delivery>, Vec<Delivery>) =
-            std::mem::take(&mut self.deliveries).into_iter().partition(|d| {
-                d.at <= step && !self.active.iter().any(|f| f.kind == FaultKind::Freeze(d.entry))
+            std::mem::take(&mut self.deliveries).into_iter().partition(|delivery| {
+                delivery.at <= step
+                    && !self
+                        .active_faults
+                        .iter()
+                        .any(|fault| fault.kind == FaultKind::Freeze(delivery.entry))
             });
         self.deliveries = rest;
         for delivery in due {
-            let is_same = self.entries[delivery.entry]
+            let is_same_incarnation = self.entries[delivery.entry]
                 .as_ref()
                 .is_some_and(|entry| entry.incarnation == delivery.incarnation);
-            if !is_same {
+            if !is_same_incarnation {
                 continue;
             }
             if let Purpose::Apply(id) = delivery.purpose {
                 self.on_apply_result(id, delivery.result);
             } else {
                 let now = self.now();
-                let switches = self.switches;
+                let mutations = self.mutations;
                 let entry = self.entries[delivery.entry].as_mut().expect("checked above");
-                entry.on_result(now, switches, delivery.purpose, delivery.result);
+                entry.on_result(now, mutations, delivery.purpose, delivery.result);
             }
         }
     }
 
-    /// An entry sends a request to an executor, which may take long and lose the answer.
+    /// Sends a request from an entry to an executor, with a random delay and outcome.
     pub(super) fn send(&mut self, index: usize, key: &RequestKey, attempt: u64) {
         let delay = self.random.random_range(1..30);
-        let end = self.random.random_range(0..10);
+        let draw = self.random.random_range(0..10);
         let Some(entry) = &mut self.entries[index] else { return };
-        let outcome = match end {
+        let outcome = match draw {
             0 => {
                 Outcome::NotRun { reason: RefusalReason::NotConnected, retry_after: Duration::ZERO }
             }
@@ -185,29 +190,29 @@
             }),
         };
         let is_run = !matches!(outcome, Outcome::NotRun { .. });
-        entry.ends.push((self.step + delay + 1, Arc::clone(key), attempt, outcome));
+        entry.pending_outcomes.push((self.step + delay + 1, Arc::clone(key), attempt, outcome));
         if is_run {
-            let run = Run { at: self.step + delay, key: Arc::clone(key), attempt };
+            let run = ExecutorRun { at: self.step + delay, key: Arc::clone(key), attempt };
             self.runs.push(run);
         }
     }
 
-    pub(super) fn heartbeats(&mut self) {
+    pub(super) fn exchange_heartbeats(&mut self) {
         for from in 0..ENTRIES {
             for to in 0..ENTRIES {
-                let is_cut = from == to
+                let is_partitioned = from == to
                     || self.is_frozen(from)
                     || self.is_frozen(to)
                     || self.is_active(FaultKind::CutFromPeers(from))
                     || self.is_active(FaultKind::CutFromPeers(to));
-                if is_cut {
+                if is_partitioned {
                     continue;
                 }
                 let now = self.now();
                 let Some(sender) = &mut self.entries[from] else { continue };
                 let (report, documents) = sender.heartbeat(now);
                 if let Some(receiver) = &mut self.entries[to] {
-                    receiver.on_heartbeat(now, self.switches, report, documents);
+                    receiver.on_heartbeat(now, self.mutations, report, documents);
                 }
             }
         }
--- a/crates/jackdawpier_proofs/tests/world/schedule.rs
+++ b/crates/jackdawpier_proofs/tests/world/schedule.rs
@@ -1,36 +1,36 @@
-//! Seeded schedules of faults, which quickcheck makes and shrinks.
+//! Seeded schedules of faults, generated and shrunk by quickcheck.
 
 use quickcheck::{Arbitrary, Gen};
 
 /// Steps of a history during which faults begin.
 pub(crate) const FAULTY_STEPS: u16 = 700;
-/// Entries of a world.
+/// Number of simulated entries.
 pub(crate) const ENTRIES: usize = 3;
 
-/// What goes wrong.
+/// A kind of fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum FaultKind {
     /// The store refuses every call.
     StoreDown,
-    /// Answers of the store come late.
+    /// Answers of the store are delayed.
     StoreSlow,
     /// Half of the writes lose their answers after taking effect.
     LoseAnswers,
     /// Calls reach the store long after they were sent, some after their timeout.
     LateCalls,
-    /// Readings of the coordination records are as old as the fault.
+    /// Reads of the coordination records return their state at the start of the fault.
     StaleReads,
-    /// Every lease ends at once.
+    /// All leases expire at once.
     LapseLeases,
-    /// The entry stops and goes on later as if nothing had happened.
+    /// The entry is suspended and resumes later with its state.
     Freeze(usize),
-    /// The entry dies; another takes its name at the end of the fault.
+    /// The entry is killed and restarts under the same name at the end of the fault.
     Kill(usize),
-    /// The entry and the store don't reach each other.
+    /// The entry and the store can't reach each other.
     CutFromStore(usize),
-    /// The entry's calls reach the store; the answers don't come back.
+    /// The entry's calls reach the store, but the answers are lost.
     CutAnswers(usize),
-    /// The entry and its peers don't reach each other.
+    /// The entry and its peers can't reach each other.
     CutFromPeers(usize),
     /// The clock of the entry jumps ahead.
     ClockStep(usize),
@@ -40,17 +40,17 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Fault {
     /// Step at which it begins.
-    pub(crate) at: u16,
-    /// Steps for which it lasts.
-    pub(crate) length: u16,
-    /// What goes wrong.
+    pub(crate) start_step: u16,
+    /// Duration in steps.
+    pub(crate) duration_steps: u16,
+    /// The kind of fault.
     pub(crate) kind: FaultKind,
 }
 
-/// A whole history: the seed of all other choices, and the faults.
+/// The schedule of a history: its faults and the seed of all other random choices.
 #[derive(Debug, Clone)]
 pub(crate) struct Schedule {
-    /// Seed of the world's own choices.
+    /// Seed of the simulation's random choices.
     pub(crate) seed: u64,
     /// The faults, in no particular order.
     pub(crate) faults: Vec<Fault>,
@@ -77,15 +77,20 @@
             FaultKind::ClockStep(entry),
         ];
         Self {
-            at: u16::arbitrary(g) % FAULTY_STEPS,
-            length: 1 + u16::arbitrary(g) % 200,
-            kind: *g.choose(&kinds).expect("there are kinds"),
+            start_step: u16::arbitrary(g) % FAULTY_STEPS,
+            duration_steps: 1 + u16::arbitrary(g) % 200,
+            kind: *g.choose(&kinds).expect("the list of kinds isn't empty"),
         }
     }
 
     fn shrink(&self) -> Box<dyn Iterator<Item = Self>> {
         let fault = *self;
-        Box::new(fault.length.shrink().map(move |length| Self { length, ..fault }))
+        Box::new(
+            fault
+                .duration_steps
+                .shrink()
+                .map(move |duration_steps| Self { duration_steps, ..fault }),
+        )
     }
 }
 
