--- a/crates/jackdawpier_standin/src/faults.rs
+++ b/crates/jackdawpier_standin/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the stand-in processes, switched on at run time by `POST /admin/faults`.
+//! Faults of the stand-in processes, set at run time by `POST /admin/faults`.
 
 use serde::{Deserialize, Serialize};
 
@@ -6,15 +6,15 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct StoreFaults {
-    /// Refuses every call.
+    /// Rejects every call.
     pub is_down: bool,
-    /// Delays every answer.
+    /// Delay of every answer, in milliseconds.
     pub slow_ms: u64,
-    /// Share of writes whose answer is lost after they took effect.
+    /// Share of writes that take effect but whose answer is lost, in permille.
     pub lose_answers_permille: u32,
-    /// Answers readings from the state at the time of the switch.
+    /// Answers reads from the state at the time when this fault was set.
     pub is_stale: bool,
-    /// Calls a second that are taken; zero is without limit.
+    /// Maximum number of calls per second; 0 means no limit.
     pub calls_per_s: u32,
 }
 
@@ -22,17 +22,17 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ExecutorFaults {
-    /// Adds to the time of every request.
+    /// Extra time that every request takes, in milliseconds.
     pub slow_ms: u64,
-    /// Takes requests and never answers.
+    /// Accepts requests and never answers.
     pub is_frozen: bool,
-    /// Breaks every answer off half way.
+    /// Truncates every answer.
     pub is_truncating: bool,
-    /// Answers with another request's id.
+    /// Answers with the ID of another request.
     pub is_mixing_up: bool,
-    /// Answers status 500 to every request.
+    /// Answers every request with status 500.
     pub is_failing: bool,
-    /// Refuses new work and says that it is leaving.
+    /// Rejects new work and reports that the executor is leaving.
     pub is_leaving: bool,
 }
 
--- a/crates/jackdawpier_standin/src/process.rs
+++ b/crates/jackdawpier_standin/src/process.rs
@@ -12,22 +12,22 @@
     max_body_bytes: 16 << 20,
 };
 
-/// Limits of a stand-in that takes this many connections.
+/// Returns the limits of a stand-in with at most `connections` connections.
 pub fn limits(connections: usize) -> ServerLimits {
     ServerLimits { max_connections: connections, ..STANDIN_LIMITS }
 }
 
-/// The stand-ins' limits.
+/// Returns the default limits of a stand-in.
 pub fn default_limits() -> ServerLimits {
     STANDIN_LIMITS
 }
 
-/// A free loopback port.
+/// Returns a loopback address with port 0, which selects a free port when bound.
 pub fn any_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
-/// Runs a stand-in on a thread of its own, for tests, and returns the address that it reports.
+/// Runs a stand-in on a separate thread, for tests, and returns the address that it reports.
 pub fn spawn<F>(run: impl FnOnce(mpsc::Sender<SocketAddr>) -> F + Send + 'static) -> SocketAddr
 where
     F: Future<Output = std::io::Result<()>>,
@@ -37,7 +37,7 @@
     receiver.recv().expect("the stand-in starts")
 }
 
-/// Runs a future on a runtime of its own.
+/// Runs a future to completion on a new runtime.
 pub fn block_on<F: Future>(future: F) -> F::Output {
     tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
@@ -54,25 +54,25 @@
     Ok((listener, bound))
 }
 
-/// Serves for as long as the process lives.
+/// Serves until the process ends.
 pub async fn serve_forever<H: Handler>(listener: TcpListener, limits: ServerLimits, handler: H) {
-    let (_keep, stop) = watch::channel(false);
+    let (_stop_sender, stop) = watch::channel(false);
     serve(listener, limits, handler, stop).await;
 }
 
-/// A JSON reply.
+/// Returns a JSON reply.
 pub fn json(value: &impl Serialize) -> Reply {
     let body = serde_json::to_vec(value).expect("replies are plain data");
     Reply::new(200, "application/json", body)
 }
 
-/// Reads a JSON body, or gives the reply that says what is wrong.
+/// Parses a JSON body. An invalid one gives a reply with status 400 and the reason.
 pub fn parse<T: DeserializeOwned>(request: &IncomingRequest) -> Result<T, Reply> {
     serde_json::from_slice(&request.body)
         .map_err(|error| Reply::new(400, "text/plain", error.to_string()))
 }
 
-/// The reply to an unknown path.
+/// Returns the reply to an unknown path.
 pub fn not_found() -> Reply {
     Reply::new(404, "text/plain", "not found\n")
 }
--- a/crates/jackdawpier_standin/src/relay.rs
+++ b/crates/jackdawpier_standin/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay in front of a stand-in, which can be cut or slow: between one entry and the store, say.
+//! TCP relay that simulates partitions and slow links, for example between an entry and the store.
 
 use std::{
     io::{Read, Write},
@@ -13,47 +13,47 @@
 
 use socket2::SockRef;
 
-/// How often a reader looks whether the cut is over.
-const LOOK_INTERVAL: Duration = Duration::from_millis(10);
+/// Interval at which a reader checks whether the partition has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 const BUFFER_BYTES: usize = 16 * 1024;
-/// Receive buffer of a slow link; a larger one would take a whole upload in at once.
+/// Receive buffer of a slow link; a larger one would accept a whole upload immediately.
 const SLOW_RECEIVE_BYTES: usize = 16 * 1024;
 
-/// What the relay lets through.
+/// Traffic that the relay drops.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Cut {
-    /// Everything.
+    /// None.
     None,
-    /// Requests, but no answers.
+    /// Answers; requests are forwarded.
     Answers,
-    /// Nothing; what was sent meanwhile is lost.
+    /// All traffic.
     All,
 }
 
 /// A running relay.
 #[derive(Debug, Clone)]
 pub struct Relay {
-    /// Where it listens.
+    /// Address that the relay listens on.
     pub address: SocketAddr,
     cut: Arc<AtomicU8>,
 }
 
 impl Relay {
-    /// Starts a relay to `target` on a free port of loopback.
+    /// Starts a relay to `target` on a free loopback port.
     ///
     /// # Errors
     ///
-    /// Returns the reason for which there is no port.
+    /// Returns an error if the listener can't be created.
     pub fn start(target: SocketAddr) -> std::io::Result<Self> {
         Self::listen(TcpListener::bind(("127.0.0.1", 0))?, target, None)
     }
 
-    /// Starts a relay that carries at most `bytes_per_s` each way on each connection, steadily.
+    /// Starts a relay that forwards at most `bytes_per_s` per connection and direction.
     ///
     /// # Errors
     ///
-    /// Returns the reason for which there is no port.
+    /// Returns an error if the listener can't be created.
     pub fn start_slow(target: SocketAddr, bytes_per_s: u32) -> std::io::Result<Self> {
         let listener = TcpListener::bind(("127.0.0.1", 0))?;
         SockRef::from(&listener).set_recv_buffer_size(SLOW_RECEIVE_BYTES)?;
@@ -70,49 +70,49 @@
         thread::spawn(move || {
             for caller in listener.incoming().flatten() {
                 let Ok(server) = TcpStream::connect(target) else { continue };
-                carry_both(&caller, &server, &cut, bytes_per_s);
+                forward_both(&caller, &server, &cut, bytes_per_s);
             }
         });
         Ok(relay)
     }
 
-    /// Lets through what `cut` says, from now on and on connections that are open too.
+    /// Sets the traffic to drop, on new and on open connections.
     pub fn set(&self, cut: Cut) {
         self.cut.store(cut as u8, Ordering::SeqCst);
     }
 }
 
-fn carry_both(
+fn forward_both(
     caller: &TcpStream,
     server: &TcpStream,
     cut: &Arc<AtomicU8>,
     bytes_per_s: Option<u32>,
 ) {
     let _ = (caller.set_nodelay(true), server.set_nodelay(true));
-    for (from, to, least) in [(caller, server, Cut::All), (server, caller, Cut::Answers)] {
+    for (from, to, min_cut) in [(caller, server, Cut::All), (server, caller, Cut::Answers)] {
         let (Ok(from), Ok(to)) = (from.try_clone(), to.try_clone()) else { return };
         let cut = Arc::clone(cut);
-        thread::spawn(move || carry(from, to, &cut, least, bytes_per_s));
+        thread::spawn(move || forward(from, to, &cut, min_cut, bytes_per_s));
     }
 }
 
-/// Carries bytes until the connection ends. Once some were lost, nothing on it can be right any
-/// more, so it ends when the cut does.
-fn carry(
+/// Forwards bytes until the connection ends. If bytes were dropped, the connection is closed when
+/// the partition ends, because its stream is incomplete.
+fn forward(
     mut from: TcpStream,
     mut to: TcpStream,
     cut: &AtomicU8,
-    least: Cut,
+    min_cut: Cut,
     bytes_per_s: Option<u32>,
 ) {
-    let is_cut = || cut.load(Ordering::SeqCst) >= least as u8;
+    let is_cut = || cut.load(Ordering::SeqCst) >= min_cut as u8;
     let mut buffer = vec![0; BUFFER_BYTES];
-    let mut has_lost = false;
+    let mut has_dropped = false;
     while let Ok(count @ 1..) = from.read(&mut buffer) {
-        has_lost |= is_cut();
-        if has_lost {
+        has_dropped |= is_cut();
+        if has_dropped {
             while is_cut() {
-                thread::sleep(LOOK_INTERVAL);
+                thread::sleep(POLL_INTERVAL);
             }
             break;
         }
--- a/crates/jackdawpier_standin/src/udp_link.rs
+++ b/crates/jackdawpier_standin/src/udp_link.rs
@@ -1,4 +1,5 @@
-//! A slow link between two entries: datagrams to the target at once, those back at a steady rate.
+//! Simulates a slow link between two entries: datagrams to the target are forwarded immediately,
+//! those from the target at a limited rate.
 
 use std::{
     net::{SocketAddr, UdpSocket},
@@ -9,16 +10,16 @@
 
 use socket2::SockRef;
 
-/// Largest datagram.
+/// Maximum size of a datagram.
 const DATAGRAM_BYTES: usize = 64 * 1024;
-/// Queue of the link; what comes while it is full is lost, as on a real one.
+/// Queue size of the link; datagrams that arrive while it is full are dropped.
 const QUEUE_BYTES: usize = 32 * 1024;
 
-/// Starts a link to `target` for one caller, and returns its address on loopback.
+/// Starts a link to `target` for one caller and returns its loopback address.
 ///
 /// # Errors
 ///
-/// Returns the reason for which there is no port.
+/// Returns an error if the sockets can't be created.
 pub fn start(target: SocketAddr, bytes_per_s: u32) -> std::io::Result<SocketAddr> {
     let front = Arc::new(UdpSocket::bind(("127.0.0.1", 0))?);
     let back = Arc::new(UdpSocket::bind(("127.0.0.1", 0))?);
